--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -14,10 +14,10 @@
 
 from eelgrassrack.decisions.admission import Admission, Arrival, Backlog
 from eelgrassrack.decisions.candidate import Candidate
-from eelgrassrack.decisions.cascade import Chooser, Rung
+from eelgrassrack.decisions.cascade import CascadePlanner, Rung
 from eelgrassrack.decisions.coldstart import Window
 from eelgrassrack.decisions.domains import DomainRamp
-from eelgrassrack.decisions.fairqueue import FairQueue, Waiting
+from eelgrassrack.decisions.fairqueue import FairQueue, QueuedRequest
 from eelgrassrack.decisions.placement import Placement
 from eelgrassrack.decisions.quarantine import Quarantine
 from eelgrassrack.decisions.retries import Outcome, RetryBudget
@@ -67,7 +67,9 @@
     placement = Placement(domain="d0")
     # A failing endpoint makes the choice look at all for ejection.
     for _ in range(3):
-        placement.finished(endpoint="endpoint-7", succeeded=False, seconds=1, now=0.0)
+        placement.note_finished(
+            endpoint="endpoint-7", succeeded=False, seconds=1, now=0.0
+        )
 
     def choose(among: list[Candidate], affine: bool) -> None:
         chosen = placement.choose(
@@ -76,8 +78,10 @@
             chances=(dice.random(), dice.random()),
             now=1.0,
         )
-        placement.sent(endpoint=chosen.name)
-        placement.finished(endpoint=chosen.name, succeeded=True, seconds=0.5, now=1.0)
+        placement.note_sent(endpoint=chosen.name)
+        placement.note_finished(
+            endpoint=chosen.name, succeeded=True, seconds=0.5, now=1.0
+        )
 
     return {
         f"placement among {len(among)}{', affinity' if affine else ''}": (
@@ -94,7 +98,7 @@
     keys = iter(range(10**9))
 
     def push() -> None:
-        waiting = Waiting(
+        waiting = QueuedRequest(
             key=str(next(keys)),
             organisation=f"o{dice.randrange(ORGANISATIONS)}",
             tokens=dice.randrange(1, 2_000),
@@ -134,7 +138,7 @@
 
 def make_cascade(dice: random.Random) -> dict[str, Decision]:
     """Return the plan, verdict and lesson of a cascade of three rungs."""
-    chooser = Chooser()
+    chooser = CascadePlanner()
     rungs = tuple(
         Rung(model=f"m{number}", cost=4.0**number, quality=0.7 + number / 10)
         for number in range(3)
@@ -164,7 +168,7 @@
     )
 
     def choose() -> None:
-        choose_version(shares=health.shares(versions=plan, now=0.0), chance=0.5)
+        choose_version(shares=health.find_shares(versions=plan, now=0.0), chance=0.5)
 
     def note() -> None:
         sample = Sample(
--- a/bench/gatewayslopes.py
+++ b/bench/gatewayslopes.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from eelgrassrack.decisions.engines import Candidate, Reading, choose_engine
+from eelgrassrack.decisions.engines import EngineCandidate, ReadingTime, choose_engine
 from eelgrassrack.decisions.fairshare import Heavy, Told
 from eelgrassrack.gateway.endpoints import Endpoint
 from eelgrassrack.gateway.flight import Flight
@@ -65,7 +65,7 @@
 
 def _choose(size: int) -> object:
     candidates = [
-        Candidate(
+        EngineCandidate(
             name=f"i-{number:010x}",
             wait=number % 7 * 0.01,
             burden=number % 7 * 0.01,
@@ -77,7 +77,7 @@
     ]
     return choose_engine(
         candidates=candidates,
-        reading=Reading(whole=0.05, shared=0.02),
+        reading=ReadingTime(whole=0.05, shared=0.02),
         affinity="part",
         spread="entry",
     )
--- a/bench/plays/mechanisms.py
+++ b/bench/plays/mechanisms.py
@@ -25,7 +25,7 @@
     _make(
         "urgency",
         "decisions/urgency",
-        "def find_urgency(*, rank, reading, gives_way=False):\n    return 5\n",
+        "def find_urgency(*, rank, reading, is_deprioritised=False):\n    return 5\n",
     ),
     _make(
         "fairshare",
@@ -34,19 +34,19 @@
     ),
     _make(
         "doubt",
-        "decisions/doubt",
-        "def avoid_doubtful(endpoints, **rest):\n    return list(endpoints)\n",
+        "decisions/suspects",
+        "def avoid_suspected(endpoints, **rest):\n    return list(endpoints)\n",
     ),
     _make(
         "poison",
-        "decisions/poison",
-        "Poison.is_guilty = lambda self, **rest: False\n",
+        "decisions/queryofdeath",
+        "QueryOfDeathDetector.is_culprit = lambda self, **rest: False\n",
     ),
     _make(
         "silence",
-        "decisions/silence",
-        "def limit_first(**rest):\n    return None\n\n\n"
-        "def limit_gap(**rest):\n    return 3600.0\n",
+        "decisions/timeouts",
+        "def find_first_timeout(**rest):\n    return None\n\n\n"
+        "def find_gap_timeout(**rest):\n    return 3600.0\n",
     ),
     _make(
         "idle connections",
--- a/bench/scenarios/answers.py
+++ b/bench/scenarios/answers.py
@@ -4,7 +4,7 @@
 import enum
 import random
 
-from eelgrassrack.decisions.cascade import Chooser, Deliver, Rung
+from eelgrassrack.decisions.cascade import CascadePlanner, Deliver, Rung
 from eelgrassrack.decisions.rollout import (
     PlannedVersion,
     RolloutHealth,
@@ -65,7 +65,7 @@
 def play_cascade(case: CascadeCase, *, rule: FirstRule, seed: int) -> list[Delivered]:
     """Answer the requests of a case by one rule."""
     dice = random.Random(seed)
-    chooser = Chooser()
+    chooser = CascadePlanner()
     return [
         _answer(case, rule, chooser, dice, number) for number in range(case.requests)
     ]
@@ -74,7 +74,7 @@
 def _answer(
     case: CascadeCase,
     rule: FirstRule,
-    chooser: Chooser,
+    chooser: CascadePlanner,
     dice: random.Random,
     number: int,
 ) -> Delivered:
@@ -114,7 +114,11 @@
 
 
 def _plan(
-    case: CascadeCase, rule: FirstRule, chooser: Chooser, kind: str, chance: float
+    case: CascadeCase,
+    rule: FirstRule,
+    chooser: CascadePlanner,
+    kind: str,
+    chance: float,
 ) -> tuple[int, bool]:
     match rule:
         case FirstRule.BEST:
@@ -135,7 +139,7 @@
 
 
 def _teach(
-    chooser: Chooser, kind: str, rung: Rung, rating: float | None, number: int
+    chooser: CascadePlanner, kind: str, rung: Rung, rating: float | None, number: int
 ) -> None:
     if rating is not None:
         chooser.note(kind=kind, rung_model=rung.model, rating=rating, now=number / 10)
@@ -194,7 +198,7 @@
         now = float(number)
         shares = fixed
         if not is_fixed:
-            shares = health.shares(versions=plan, now=now, policy=case.policy)
+            shares = health.find_shares(versions=plan, now=now, policy=case.policy)
         version = choose_version(shares=shares, chance=dice.random())
         is_new = version == "m/new"
         is_bad = is_new and case.turn is not None and number >= case.turns_at
--- a/bench/scenarios/endpoint.py
+++ b/bench/scenarios/endpoint.py
@@ -7,9 +7,9 @@
 
 from eelgrassrack.agent.drain import Drain
 from eelgrassrack.decisions.admission import Arrival, Backlog, estimate_wait
-from eelgrassrack.decisions.coldstart import Collapse, Window
-from eelgrassrack.decisions.fairqueue import FairQueue, Waiting
-from eelgrassrack.decisions.reserve import Reserve
+from eelgrassrack.decisions.coldstart import CollapseReason, Window
+from eelgrassrack.decisions.fairqueue import FairQueue, QueuedRequest
+from eelgrassrack.decisions.reserve import SlotReserve
 from eelgrassrack.decisions.waiting import count_ahead, is_patient
 
 from .calls import Job
@@ -54,32 +54,32 @@
     __slots__ = ("_items", "tokens")
 
     def __init__(self) -> None:
-        self._items: collections.deque[Waiting] = collections.deque()
+        self._items: collections.deque[QueuedRequest] = collections.deque()
         self.tokens = 0
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def push(self, waiting: Waiting) -> bool:
+    def push(self, waiting: QueuedRequest) -> bool:
         """Add a request at the end."""
         self._items.append(waiting)
         self.tokens += waiting.tokens
         return True
 
-    def peek(self, *, now: float) -> Waiting | None:
+    def peek(self, *, now: float) -> QueuedRequest | None:
         """Return the oldest that isn't late."""
         while self._items and self._items[0].deadline <= now:
             self.tokens -= self._items.popleft().tokens
         return self._items[0] if self._items else None
 
-    def pop(self, *, now: float) -> Waiting | None:
+    def pop(self, *, now: float) -> QueuedRequest | None:
         """Take out the oldest that isn't late."""
         waiting = self.peek(now=now)
         if waiting is not None:
             self.tokens -= self._items.popleft().tokens
         return waiting
 
-    def expire(self, *, now: float) -> list[Waiting]:
+    def expire(self, *, now: float) -> list[QueuedRequest]:
         """Return nothing: late ones are dropped."""
         return []
 
@@ -118,7 +118,7 @@
         self._running: dict[str, tuple[Job, Callable]] = {}
         self._own: collections.Counter[object] = collections.Counter()
         self._weights: dict[str, float] = {}
-        self._reserve = Reserve()
+        self._reserve = SlotReserve()
         is_fair = rules.queue is QueueRule.FAIR
         self._queue = FairQueue() if is_fair else FifoQueue()
         self._numbers = 0
@@ -154,7 +154,7 @@
         self._jobs[key] = job, end
         self._count(job, 1)
         self._queue.push(
-            Waiting(
+            QueuedRequest(
                 key=key,
                 organisation=call.organisation.name,
                 weight=call.organisation.weight,
@@ -173,7 +173,7 @@
     def crash(self) -> None:
         """End all that runs, refuse what waits, and restart cold."""
         self.crashes += 1
-        self._go_cold(Collapse.ENGINE_FAILED)
+        self._go_cold(CollapseReason.ENGINE_FAILED)
         self.engine_up = False
         self.timeline.after(RESTART_SECONDS, self._restart)
         for job, end in list(self._running.values()):
@@ -189,9 +189,9 @@
     def come_back(self) -> None:
         """Serve again, cold."""
         self.is_in = True
-        self._go_cold(Collapse.ENGINE_RESTARTED)
+        self._go_cold(CollapseReason.ENGINE_RESTARTED)
 
-    def _go_cold(self, reason: Collapse) -> None:
+    def _go_cold(self, reason: CollapseReason) -> None:
         self._bears = float(self.floor)
         self.window.collapse(now=self.timeline.now, reason=reason)
 
@@ -237,7 +237,7 @@
     def _pump(self) -> None:
         now = self.timeline.now
         while self.engine_up and self.is_in:
-            room = self.window.room(running=len(self._running))
+            room = self.window.count_free(running=len(self._running))
             if room <= 0:
                 break
             waiting = self._take_next(now)
@@ -247,14 +247,14 @@
         for waiting in self._queue.expire(now=now):
             self._give_back(waiting.key, "late")
 
-    def _take_next(self, now: float) -> Waiting | None:
+    def _take_next(self, now: float) -> QueuedRequest | None:
         if self.rules.queue is QueueRule.FIFO or not self.rules.reserves:
             return self._queue.pop(now=now)
-        free = self.window.room(running=len(self._running))
+        free = self.window.count_free(running=len(self._running))
         may_start = self._reserve.judge(free=free, window=self.window.size, now=now)
         return self._queue.pop(now=now, may_start=may_start)
 
-    def _start(self, waiting: Waiting) -> None:
+    def _start(self, waiting: QueuedRequest) -> None:
         job, end = self._jobs.pop(waiting.key)
         self._count_out(job)
         if len(self._running) >= int(self._bears):
@@ -272,7 +272,9 @@
         ends = min(now + seconds, job.deadline)
         self.timeline.at(ends, lambda: self._finish(key, now, now + seconds, waiting))
 
-    def _finish(self, key: str, began: float, ends: float, waiting: Waiting) -> None:
+    def _finish(
+        self, key: str, began: float, ends: float, waiting: QueuedRequest
+    ) -> None:
         self._reserve.end(organisation=waiting.organisation)
         found = self._running.pop(key, None)
         if found is None:
--- a/bench/scenarios/entry.py
+++ b/bench/scenarios/entry.py
@@ -147,7 +147,7 @@
         job.endpoint = chosen
         job.tries += 1
         self._local[chosen] += 1
-        self._placement.sent(endpoint=chosen)
+        self._placement.note_sent(endpoint=chosen)
         endpoint = self._endpoints[chosen]
         self._timeline.after(NEAR_SECONDS, lambda: endpoint.offer(job, self._take))
 
@@ -207,9 +207,9 @@
         self._local[job.endpoint] -= 1
         began = job.started if job.started is not None else now
         if word in (NOT_RUN, "late"):
-            self._placement.abandoned(endpoint=job.endpoint)
+            self._placement.note_abandoned(endpoint=job.endpoint)
         else:
-            self._placement.finished(
+            self._placement.note_finished(
                 endpoint=job.endpoint,
                 succeeded=word == "whole",
                 seconds=began + job.call.prefill - job.sent,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -192,8 +192,10 @@
             chances=(dice.random(), dice.random()),
             now=0.1,
         )
-        placement.sent(endpoint=chosen.name)
-        placement.finished(endpoint=chosen.name, succeeded=True, seconds=0.2, now=0.2)
+        placement.note_sent(endpoint=chosen.name)
+        placement.note_finished(
+            endpoint=chosen.name, succeeded=True, seconds=0.2, now=0.2
+        )
 
     return {"choose us": time_call(choose)}
 
--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from ..decisions.coldstart import Collapse
+from ..decisions.coldstart import CollapseReason
 from ..incarnations import make_incarnation
 from ..invariants import Invariants, Promise
 from ..mailbox.messages import AnyMessage, Bill, Parcel
@@ -281,8 +281,8 @@
     def _post(self, to: str, message: AnyMessage) -> None:
         self._mailbox.post(to=to, message=message)
 
-    def _collapse(self, reason: Collapse) -> None:
-        if reason is Collapse.ENGINE_RESTARTED:
+    def _collapse(self, reason: CollapseReason) -> None:
+        if reason is CollapseReason.ENGINE_RESTARTED:
             self._metrics.count(CRASHES)
         self._core.collapse(reason)
         self._heartbeat.send()
@@ -344,7 +344,7 @@
 
     def _take_health(self) -> None:
         self._standing.engine_up = self._health.is_up
-        self._core.window.is_held = self._health.is_cold
+        self._core.window.is_growth_paused = self._health.is_cold
 
     async def _follow_instances(self) -> None:
         await follow_instances(instances=self._instances, take=self._take_listing)
--- a/eelgrassrack/agent/core.py
+++ b/eelgrassrack/agent/core.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from ..decisions.coldstart import Collapse, Window
-from ..decisions.reserve import Reserve
+from ..decisions.coldstart import CollapseReason, Window
+from ..decisions.reserve import SlotReserve
 from ..invariants import Invariants, Promise
 from ..mailbox.messages import Facts, Load, Refusal
 from .attempts import Attempt, Attempts, Phase
@@ -28,7 +28,7 @@
     relay: Relay
     room: WaitingRoom
     slots: Slots
-    reserve: Reserve
+    reserve: SlotReserve
     window: Window
     clock: Callable[[], float]
     invariants: Invariants
@@ -91,7 +91,7 @@
             self.take_facts(msgspec.structs.replace(facts, revision=revision))
         return True
 
-    def collapse(self, reason: Collapse) -> None:
+    def collapse(self, reason: CollapseReason) -> None:
         """Close the window to what a cold endpoint bears."""
         self.window.collapse(now=self.clock(), reason=reason)
 
@@ -134,7 +134,7 @@
         relay=relay,
         room=WaitingRoom(),
         slots=Slots(),
-        reserve=Reserve(),
+        reserve=SlotReserve(),
         window=Window(floor=1, ceiling=1, now=clock()),
         clock=clock,
         invariants=invariants,
--- a/eelgrassrack/agent/health.py
+++ b/eelgrassrack/agent/health.py
@@ -13,7 +13,7 @@
 from tornado.httpclient import HTTPRequest
 
 from ..curl import make_client
-from ..decisions.coldstart import Collapse
+from ..decisions.coldstart import CollapseReason
 
 log = logbook.Logger("health")
 
@@ -54,7 +54,7 @@
         *,
         url: str,
         clock: Callable[[], float],
-        on_collapse: Callable[[Collapse], None],
+        on_collapse: Callable[[CollapseReason], None],
     ) -> None:
         self.is_up = True
         self.is_cold = False
@@ -104,10 +104,10 @@
         if restarted or not (was_up or is_same):
             self.restarted_at = self._clock()
             log.warning("health: endpoint restarted")
-            self._on_collapse(Collapse.ENGINE_RESTARTED)
+            self._on_collapse(CollapseReason.ENGINE_RESTARTED)
         elif turned_cold:
             log.warning("health: endpoint reports a cold start")
-            self._on_collapse(Collapse.REPORTED_COLD)
+            self._on_collapse(CollapseReason.REPORTED_COLD)
 
     async def _ask(self) -> Report | Down:
         request = HTTPRequest(
--- a/eelgrassrack/agent/intake.py
+++ b/eelgrassrack/agent/intake.py
@@ -151,7 +151,7 @@
                 return None
             attempt, core.parked = core.parked, None
             return attempt
-        free = core.window.room(running=len(core.slots))
+        free = core.window.count_free(running=len(core.slots))
         if free <= 0:
             return None
         now = core.clock()
--- a/eelgrassrack/agent/runner.py
+++ b/eelgrassrack/agent/runner.py
@@ -10,7 +10,7 @@
 
 import logbook
 
-from ..decisions.coldstart import Collapse
+from ..decisions.coldstart import CollapseReason
 from ..invariants import Promise
 from ..logs import bind_request
 from ..mailbox.messages import (
@@ -88,7 +88,7 @@
             self._core.reserve.start(
                 organisation=attempt.start.organisation, now=self._core.clock()
             )
-        if self._core.window.needs_look and len(self._core.room):
+        if self._core.window.needs_probe and len(self._core.room):
             self._begin_look()
 
     def tick(self) -> None:
@@ -132,7 +132,7 @@
         await self._is_alive(self._core.clock())
         if self._look is asyncio.current_task():
             self._look = None
-            self._core.window.is_unseen = False
+            self._core.window.is_unprobed = False
             self.pump()
 
     def _free(self, attempt: Attempt) -> None:
@@ -140,7 +140,7 @@
         if not len(self._core.slots):
             # A look that is under way began before the endpoint was idle.
             self._look = None
-            self._core.window.is_unseen = True
+            self._core.window.is_unprobed = True
 
     async def _run(self, attempt: Attempt, exchange: Exchange) -> None:
         bind_request(attempt.start.request)
@@ -288,7 +288,7 @@
 
     def _take_crash(self) -> None:
         self._core.standing.engine_up = False
-        self._core.collapse(Collapse.ENGINE_FAILED)
+        self._core.collapse(CollapseReason.ENGINE_FAILED)
 
     def _cancel_unseen(self, cancel: Cancel, sender: str) -> None:
         core = self._core
--- a/eelgrassrack/agent/waitingroom.py
+++ b/eelgrassrack/agent/waitingroom.py
@@ -8,8 +8,8 @@
 import collections
 from collections.abc import Callable
 
-from ..decisions.admission import Arrival, Backlog, Bookings, estimate_wait
-from ..decisions.fairqueue import FairQueue, Waiting
+from ..decisions.admission import Arrival, Backlog, RetrySchedule, estimate_wait
+from ..decisions.fairqueue import FairQueue, QueuedRequest
 from ..decisions.waiting import count_ahead, is_patient
 from .attempts import Attempt
 from .drain import Drain, find_retry_after
@@ -41,7 +41,7 @@
         self.held: dict[str, Attempt] = {}
         self._queue = FairQueue()
         self._attempts: dict[str, Attempt] = {}
-        self._bookings = Bookings()
+        self._bookings = RetrySchedule()
         self._bytes = 0
         self._own: collections.Counter[str] = collections.Counter()
         self._patient: collections.Counter[str] = collections.Counter()
@@ -99,13 +99,13 @@
         rate = self.drain.find_rate(window=window)
         if not rate:
             return find_retry_after(0.0)
-        ahead = self._bookings.book(amount=tokens, rate=rate, now=now)
+        ahead = self._bookings.reserve(amount=tokens, rate=rate, now=now)
         return find_retry_after(self.tokens / rate + ahead)
 
     def add(self, attempt: Attempt, *, weight: float) -> None:
         """Let an attempt wait for its turn."""
         start = attempt.start
-        waiting = Waiting(
+        waiting = QueuedRequest(
             key=start.attempt,
             organisation=start.organisation,
             weight=weight,
@@ -120,7 +120,7 @@
         self._count(attempt, 1)
 
     def pop(
-        self, *, now: float, may_start: Callable[[Waiting], bool] | None = None
+        self, *, now: float, may_start: Callable[[QueuedRequest], bool] | None = None
     ) -> Attempt | None:
         """Take out the attempt whose turn it is, of those that may start."""
         waiting = self._queue.pop(now=now, may_start=may_start)
--- a/eelgrassrack/decisions/admission.py
+++ b/eelgrassrack/decisions/admission.py
@@ -117,7 +117,7 @@
     retry_after: float
 
 
-class Bookings:
+class RetrySchedule:
     """Work of refused callers that is expected to come back."""
 
     __slots__ = ("_amount", "_at")
@@ -126,7 +126,7 @@
         self._amount = 0.0
         self._at = 0.0
 
-    def book(self, *, amount: float, rate: float, now: float) -> float:
+    def reserve(self, *, amount: float, rate: float, now: float) -> float:
         """Add `amount` and return the seconds until its turn.
 
         `rate` is how much is worked off in a second.
@@ -145,7 +145,7 @@
 
     def __init__(self, *, burst: float, now: float) -> None:
         self.running = 0
-        self.bookings = Bookings()
+        self.bookings = RetrySchedule()
         self._level = burst
         self._at = now
 
@@ -169,7 +169,7 @@
 
     def __init__(self) -> None:
         self._accounts: dict[str, Account] = {}
-        self._bookings = Bookings()
+        self._bookings = RetrySchedule()
 
     def judge(
         self,
@@ -201,7 +201,7 @@
             )
             return _refuse(RefusedReason.RATE, seconds=seconds, chance=chance)
         if late > 0:
-            ahead = self._bookings.book(
+            ahead = self._bookings.reserve(
                 amount=arrival.tokens, rate=backlog.drain, now=now
             )
             seconds = max(late, drained) + ahead
@@ -258,7 +258,7 @@
     rate = organisation.requests_per_second
     if rate <= 0:
         return LONGEST_RETRY
-    ahead = account.bookings.book(amount=1.0, rate=rate, now=now)
+    ahead = account.bookings.reserve(amount=1.0, rate=rate, now=now)
     return (1.0 - level) / rate + ahead
 
 
--- a/eelgrassrack/decisions/backlog.py
+++ b/eelgrassrack/decisions/backlog.py
@@ -43,7 +43,7 @@
         return self.ahead + self.behind * BEHIND_PART
 
 
-class Backlog:
+class ReadingBacklog:
     """Seconds of reading by urgency, 0 for the most urgent."""
 
     __slots__ = ("_seconds",)
--- a/eelgrassrack/decisions/cascade.py
+++ b/eelgrassrack/decisions/cascade.py
@@ -143,7 +143,7 @@
         return sum(self.counts[_find_class(target) :])
 
 
-class Chooser:
+class CascadePlanner:
     """Plan cascades from recent ratings by kind of request."""
 
     __slots__ = ("_equal", "_last", "_ratings", "_unrated")
--- a/eelgrassrack/decisions/coldstart.py
+++ b/eelgrassrack/decisions/coldstart.py
@@ -30,7 +30,7 @@
 SHORTEST_WARM_UP = 5.0
 
 
-class Collapse(enum.Enum):
+class CollapseReason(enum.Enum):
     """Why a window falls to its floor."""
 
     ENGINE_RESTARTED = "engine_restarted"
@@ -42,8 +42,8 @@
 class Window:
     """How many requests an endpoint is given at once.
 
-    It doesn't grow while `is_held`: the endpoint reports a cold start.  While
-    `is_unseen` the endpoint hasn't been looked at since it was idle.
+    It doesn't grow while `is_growth_paused`: the endpoint reports a cold start.  While
+    `is_unprobed` the endpoint hasn't been looked at since it was idle.
     """
 
     __slots__ = (
@@ -51,17 +51,17 @@
         "_since",
         "ceiling",
         "floor",
-        "is_held",
-        "is_unseen",
+        "is_growth_paused",
+        "is_unprobed",
         "reason",
     )
 
     def __init__(self, *, floor: int, ceiling: int, now: float) -> None:
         self.floor = max(floor, 1)
         self.ceiling = max(ceiling, self.floor)
-        self.is_held = False
-        self.is_unseen = False
-        self.reason = Collapse.AGENT_NEW
+        self.is_growth_paused = False
+        self.is_unprobed = False
+        self.reason = CollapseReason.AGENT_NEW
         self._exact = float(self.floor)
         self._since = now
 
@@ -78,14 +78,14 @@
     @property
     def limit(self) -> int:
         """Return how many requests may run at once by what is known just now."""
-        return min(self.size, self.floor) if self.is_unseen else self.size
+        return min(self.size, self.floor) if self.is_unprobed else self.size
 
     @property
-    def needs_look(self) -> bool:
+    def needs_probe(self) -> bool:
         """Tell whether a look at the endpoint may let more requests start."""
         return self.limit < self.size
 
-    def room(self, *, running: int) -> int:
+    def count_free(self, *, running: int) -> int:
         """Return how many more requests may start."""
         return max(self.limit - running, 0)
 
@@ -98,14 +98,14 @@
         # An engine that still reports a cold start answers one request after
         # the other.  Growing on those would give it two at once, it would
         # crash, and both callers would lose their answers.
-        if self.is_held or (began is not None and began < self._since):
+        if self.is_growth_paused or (began is not None and began < self._since):
             return
         warm_up = min(max(now - self._since, 0.0) / SHORTEST_WARM_UP, 1.0)
         allowed = self.floor + (self.ceiling - self.floor) * warm_up
         grown = min(self._exact + GROWTH, allowed)
         self._exact = max(self._exact, grown)
 
-    def collapse(self, *, now: float, reason: Collapse) -> None:
+    def collapse(self, *, now: float, reason: CollapseReason) -> None:
         """Fall to the floor at once."""
         self.reason = reason
         self._exact = float(self.floor)
--- a/eelgrassrack/decisions/engines.py
+++ b/eelgrassrack/decisions/engines.py
@@ -38,14 +38,14 @@
 
 # Work of a plain request, which has no prompt: of the order of its run time,
 # so that endpoints of a plain service are weighed by requests under way.
-PLAIN_SECONDS = 0.05
+PLAIN_REQUEST_SECONDS = 0.05
 
 
-class Candidate(msgspec.Struct, kw_only=True, frozen=True):
+class EngineCandidate(msgspec.Struct, kw_only=True, frozen=True):
     """An endpoint that may get the request.
 
     `wait` is the seconds before it would read the request, `burden` the seconds
-    that it is compared by (`Backlog`), `running` the requests of all entries
+    that it is compared by (`ReadingBacklog`), `running` the requests of all entries
     there, `slots` how many it runs at once.
     `slowness` is how many times as long as others it takes for the same work.
     `holds_parts` says that it most likely has the shared parts cached.
@@ -62,14 +62,14 @@
     is_shunned: bool = False
 
 
-class Reading(msgspec.Struct, kw_only=True, frozen=True):
+class ReadingTime(msgspec.Struct, kw_only=True, frozen=True):
     """Seconds to read a prompt whole, and of that its shared parts."""
 
     whole: float
     shared: float = 0.0
 
 
-class Choice(msgspec.Struct, frozen=True):
+class EngineChoice(msgspec.Struct, frozen=True):
     """An endpoint and the seconds until the first token there."""
 
     name: str
@@ -79,22 +79,22 @@
 
 def choose_engine(
     *,
-    candidates: Sequence[Candidate],
-    reading: Reading,
+    candidates: Sequence[EngineCandidate],
+    reading: ReadingTime,
     affinity: str,
     spread: str,
-    left: float = 0.0,
-) -> Choice:
+    remaining: float = 0.0,
+) -> EngineChoice:
     """Return the endpoint for a request.
 
     Requests of the same `affinity` go together; `spread` breaks ties, so that
-    entries don't all choose the same of equal endpoints.  `left` is the seconds
+    entries don't all choose the same of equal endpoints.  `remaining` is the seconds
     that the first token may take within the request's objective.
     """
     sound = [one for one in candidates if not one.is_shunned] or candidates
     home = _find_home(sound, affinity)
     weights = {one.name: _weigh(one, reading, is_home=one is home) for one in sound}
-    slack = left - min(weights.values()) * STRETCH
+    slack = remaining - min(weights.values()) * STRETCH
     far = max(slack * NEAR_SHARE, FAR_SECONDS)
     best = min(
         sound,
@@ -105,10 +105,12 @@
     )
     own = reading.whole - (reading.shared if best.holds_parts else 0.0)
     wait = (best.wait + _find_queue(best)) * best.slowness
-    return Choice(best.name, wait + own * best.slowness, wait)
+    return EngineChoice(best.name, wait + own * best.slowness, wait)
 
 
-def _find_home(sound: Sequence[Candidate], affinity: str) -> Candidate | None:
+def _find_home(
+    sound: Sequence[EngineCandidate], affinity: str
+) -> EngineCandidate | None:
     """Return the endpoint that is to hold a shared part, a near one if any is."""
     if not affinity:
         return None
@@ -116,17 +118,17 @@
     return max(near or sound, key=lambda one: _rank(affinity, one.name))
 
 
-def _weigh(one: Candidate, reading: Reading, *, is_home: bool) -> float:
+def _weigh(one: EngineCandidate, reading: ReadingTime, *, is_home: bool) -> float:
     saved = reading.shared if one.holds_parts or is_home else 0.0
     beside = BESIDE_SECONDS * one.running / one.slots
     work = one.burden + _find_queue(one) + beside + reading.whole - saved
     return work * one.slowness
 
 
-def _find_queue(one: Candidate) -> float:
+def _find_queue(one: EngineCandidate) -> float:
     """Return the seconds to wait for a slot, roughly, if all are taken."""
     waiting = one.running + 1 - one.slots
-    return waiting * PLAIN_SECONDS if waiting > 0 else 0.0
+    return waiting * PLAIN_REQUEST_SECONDS if waiting > 0 else 0.0
 
 
 def _rank(key: str, name: str) -> int:
--- a/eelgrassrack/decisions/fairqueue.py
+++ b/eelgrassrack/decisions/fairqueue.py
@@ -32,7 +32,7 @@
 import operator
 from collections.abc import Callable
 
-from .waiting import LEAST_WEIGHT, Waiting
+from .waiting import LEAST_WEIGHT, QueuedRequest
 
 # One level of priority overtakes 1,000 tokens of another organisation of
 # weight 1: about five mean answers (6.5 million tokens a second over 31,000
@@ -59,20 +59,20 @@
 
     __slots__ = ("_heap", "_live", "_numbers", "spent")
 
-    def __init__(self, *, live: dict[str, Waiting]) -> None:
+    def __init__(self, *, live: dict[str, QueuedRequest]) -> None:
         self.spent = 0.0
         self._live = live
-        self._heap: list[tuple[float, int, Waiting]] = []
+        self._heap: list[tuple[float, int, QueuedRequest]] = []
         self._numbers = itertools.count()
 
     @property
-    def head(self) -> Waiting | None:
+    def head(self) -> QueuedRequest | None:
         """Return the first, or None."""
         while self._heap and not self._is_live(self._heap[0]):
             heapq.heappop(self._heap)
         return self._heap[0][2] if self._heap else None
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedRequest) -> None:
         """Add a request by its rank."""
         heapq.heappush(self._heap, (waiting.rank, next(self._numbers), waiting))
 
@@ -82,7 +82,7 @@
             self._heap = [entry for entry in self._heap if self._is_live(entry)]
             heapq.heapify(self._heap)
 
-    def _is_live(self, entry: tuple[float, int, Waiting]) -> bool:
+    def _is_live(self, entry: tuple[float, int, QueuedRequest]) -> bool:
         return self._live.get(entry[2].key) is entry[2]
 
 
@@ -92,14 +92,14 @@
     __slots__ = ("_lanes", "head", "items", "start", "tag", "tokens")
 
     def __init__(self, *, start: float) -> None:
-        self.items: dict[str, Waiting] = {}
-        self.head: Waiting | None = None
+        self.items: dict[str, QueuedRequest] = {}
+        self.head: QueuedRequest | None = None
         self.start = start
         self.tag = start
         self.tokens = 0
         self._lanes = {patient: Lane(live=self.items) for patient in (False, True)}
 
-    def add(self, *, waiting: Waiting) -> None:
+    def add(self, *, waiting: QueuedRequest) -> None:
         """Add a request at the end."""
         self.items[waiting.key] = waiting
         self.tokens += waiting.tokens
@@ -111,7 +111,7 @@
         lane.add(waiting)
         self.refresh()
 
-    def remove(self, *, waiting: Waiting) -> None:
+    def remove(self, *, waiting: QueuedRequest) -> None:
         """Take a request out."""
         del self.items[waiting.key]
         self.tokens -= waiting.tokens
@@ -119,7 +119,7 @@
             lane.prune()
         self.refresh()
 
-    def serve(self) -> Waiting:
+    def serve(self) -> QueuedRequest:
         """Take the head out and charge the organisation for it."""
         waiting = self.head
         self._lanes[waiting.is_patient].spent += waiting.tokens
@@ -158,11 +158,11 @@
 
     def __init__(self) -> None:
         self.tokens = 0
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self._lines: dict[str, Line] = {}
         self._idle: dict[str, Line] = {}
-        self._expired: dict[str, Waiting] = {}
-        self._deadlines: list[tuple[float, int, Waiting]] = []
+        self._expired: dict[str, QueuedRequest] = {}
+        self._deadlines: list[tuple[float, int, QueuedRequest]] = []
         self._numbers = itertools.count()
         self._clock = 0.0
 
@@ -170,7 +170,7 @@
         """Return how many wait, without those that can't end in time."""
         return len(self._waiting)
 
-    def push(self, waiting: Waiting) -> bool:
+    def push(self, waiting: QueuedRequest) -> bool:
         """Add a request; return False if its key is already here."""
         if waiting.key in self._waiting or waiting.key in self._expired:
             return False
@@ -182,8 +182,8 @@
         return True
 
     def pop(
-        self, *, now: float, may_start: Callable[[Waiting], bool] | None = None
-    ) -> Waiting | None:
+        self, *, now: float, may_start: Callable[[QueuedRequest], bool] | None = None
+    ) -> QueuedRequest | None:
         """Return the request whose turn it is and take it out.
 
         With `may_start` it is the turn of an organisation whose next request
@@ -202,7 +202,7 @@
         self._forget(waiting=waiting)
         return waiting
 
-    def discard(self, *, key: str) -> Waiting | None:
+    def discard(self, *, key: str) -> QueuedRequest | None:
         """Take out a request that its caller gave up."""
         if key in self._expired:
             return self._expired.pop(key)
@@ -211,14 +211,14 @@
             self._take_out(waiting=waiting)
         return waiting
 
-    def expire(self, *, now: float) -> list[Waiting]:
+    def expire(self, *, now: float) -> list[QueuedRequest]:
         """Take out and return the requests that can't end by their deadline."""
         self._collect_expired(now=now)
         expired = list(self._expired.values())
         self._expired.clear()
         return expired
 
-    def find_displaced(self, *, limit: int) -> Waiting | None:
+    def find_displaced(self, *, limit: int) -> QueuedRequest | None:
         """Return who gives way if more than `limit` tokens wait, or None.
 
         It is one of the organisation with the most tokens by weight, so a
@@ -253,12 +253,12 @@
             self._take_out(waiting=waiting)
             self._expired[waiting.key] = waiting
 
-    def _take_out(self, *, waiting: Waiting) -> None:
+    def _take_out(self, *, waiting: QueuedRequest) -> None:
         line = self._lines[waiting.organisation]
         line.remove(waiting=waiting)
         self._forget(waiting=waiting)
 
-    def _forget(self, *, waiting: Waiting) -> None:
+    def _forget(self, *, waiting: QueuedRequest) -> None:
         del self._waiting[waiting.key]
         self.tokens -= waiting.tokens
         if not self._lines[waiting.organisation].items:
--- a/eelgrassrack/decisions/fairshare.py
+++ b/eelgrassrack/decisions/fairshare.py
@@ -74,7 +74,7 @@
             if seconds * part >= LEAST_SECONDS
         }
 
-    def tell(self) -> Told:
+    def report(self) -> Told:
         """Return what peers are told."""
         heaviest = sorted(self._seconds.items(), key=lambda one: -one[1])[:MOST_TOLD]
         return Told(
--- a/eelgrassrack/decisions/modelchoice.py
+++ b/eelgrassrack/decisions/modelchoice.py
@@ -79,12 +79,12 @@
     attempts: int,
     is_repeatable: bool,
     objective: float,
-    left: float,
+    remaining: float,
     estimate: Estimator,
 ) -> str:
     """Return the model to begin with; `models` come smallest first.
 
-    `left` is the seconds until the caller gives up.
+    `remaining` is the seconds until the caller gives up.
     """
     best = models[-1]
     if not is_repeatable or attempts < LEAST_ATTEMPTS:
@@ -92,7 +92,9 @@
     expected = estimate(best)
     both = estimate(models[0]).seconds + expected.seconds
     has_room = expected.wait <= objective * IDLE_SHARE
-    in_time = expected.seconds <= objective and expected.whole * SPARE_FACTOR <= left
+    in_time = (
+        expected.seconds <= objective and expected.whole * SPARE_FACTOR <= remaining
+    )
     begins = both > objective * IN_TIME_SHARE and in_time and has_room
     return best if begins else models[0]
 
@@ -103,12 +105,12 @@
     model: str,
     confidence: int | None,
     objective: float,
-    left: float,
+    remaining: float,
     estimate: Estimator,
 ) -> str | None:
     """Return the model to ask instead, or None to take the answer.
 
-    `left` is the seconds until the caller gives up.
+    `remaining` is the seconds until the caller gives up.
     """
     if confidence is None or confidence >= ACCEPTED_CONFIDENCE:
         return None
@@ -117,13 +119,13 @@
     if missing > STEP_CONFIDENCE:
         better = better[-1:]
     return next(
-        (one for one in better if _has_room(estimate(one), objective, left)), None
+        (one for one in better if _has_room(estimate(one), objective, remaining)), None
     )
 
 
-def _has_room(expected: Estimate, objective: float, left: float) -> bool:
+def _has_room(expected: Estimate, objective: float, remaining: float) -> bool:
     """Tell whether a model may be asked instead, for the sake of all requests."""
-    if expected.whole * SPARE_FACTOR > left:
+    if expected.whole * SPARE_FACTOR > remaining:
         return False
     if expected.wait <= objective * IDLE_SHARE:
         return True
--- a/eelgrassrack/decisions/placement.py
+++ b/eelgrassrack/decisions/placement.py
@@ -106,11 +106,11 @@
             usable=usable, affinity=affinity, balanced=balanced, now=now
         )
 
-    def sent(self, *, endpoint: str) -> None:
+    def note_sent(self, *, endpoint: str) -> None:
         """Count a request sent to an endpoint."""
         self._find_pending(endpoint=endpoint).net += 1
 
-    def finished(
+    def note_finished(
         self, *, endpoint: str, succeeded: bool, seconds: float, now: float
     ) -> None:
         """Count the end of a request and learn from it.
@@ -128,7 +128,7 @@
             now=now,
         )
 
-    def abandoned(self, *, endpoint: str) -> None:
+    def note_abandoned(self, *, endpoint: str) -> None:
         """Count the end of a request that shows nothing of its endpoint.
 
         So ends one that was refused before it started, or was cancelled.
--- a/eelgrassrack/decisions/poison.py
+++ b/eelgrassrack/decisions/queryofdeath.py
@@ -38,7 +38,7 @@
     born: int
 
 
-class Poison:
+class QueryOfDeathDetector:
     """Find the requests that crash endpoints."""
 
     __slots__ = ("_crashes", "_found", "_losses")
@@ -50,7 +50,7 @@
         self._losses: collections.deque[tuple[float, Crash]] = collections.deque()
         self._crashes: dict[Crash, float] = {}
 
-    def tell(self, *, now: float) -> tuple[Crash, ...]:
+    def report(self, *, now: float) -> tuple[Crash, ...]:
         """Return the crashes that were found here just now."""
         return tuple(crash for at, crash in self._found if now < at + TOLD_SECONDS)
 
@@ -74,7 +74,7 @@
         for crash in crashes:
             self._crashes.setdefault(crash, now)
 
-    def is_guilty(self, *, fingerprint: str, now: float) -> bool:
+    def is_culprit(self, *, fingerprint: str, now: float) -> bool:
         """Tell whether a request is kept back."""
         if not self._crashes:
             return False
--- a/eelgrassrack/decisions/reserve.py
+++ b/eelgrassrack/decisions/reserve.py
@@ -15,7 +15,7 @@
 import collections
 from collections.abc import Callable
 
-from .waiting import Waiting
+from .waiting import QueuedRequest
 
 # One slot in sixteen is kept: it costs at most a sixteenth of the goodput.
 # One in eight brought a quiet organisation's wait down by a further 0.09 s at
@@ -32,7 +32,7 @@
 LAPSE_SECONDS = 60.0
 
 
-class Reserve:
+class SlotReserve:
     """Judge who may take the last free slots of an endpoint."""
 
     __slots__ = ("_running", "_used_at")
@@ -55,7 +55,7 @@
 
     def judge(
         self, *, free: int, window: int, now: float
-    ) -> Callable[[Waiting], bool] | None:
+    ) -> Callable[[QueuedRequest], bool] | None:
         """Return who may start with so many slots free; None if everyone.
 
         Pass the answer to `FairQueue.pop` as `may_start`.
@@ -66,7 +66,7 @@
             return None
         return self._may_start
 
-    def _may_start(self, waiting: Waiting) -> bool:
+    def _may_start(self, waiting: QueuedRequest) -> bool:
         return self._has_few(waiting.organisation)
 
     def _has_few(self, organisation: str) -> bool:
--- a/eelgrassrack/decisions/rollout.py
+++ b/eelgrassrack/decisions/rollout.py
@@ -159,7 +159,7 @@
         if not sample.failed and sample.seconds > 0:
             own.log_seconds.add(_log(sample.seconds))
 
-    def shares(
+    def find_shares(
         self,
         *,
         versions: Iterable[PlannedVersion],
--- a/eelgrassrack/decisions/stopping.py
+++ b/eelgrassrack/decisions/stopping.py
@@ -49,16 +49,16 @@
     far_ready: int
 
 
-def may_take(*, left: float, limit: float) -> bool:
+def may_take(*, remaining: float, limit: float) -> bool:
     """Tell whether a request surely has its answer before the process ends.
 
-    `left` is the seconds until then, `limit` those after which the request is
+    `remaining` is the seconds until then, `limit` those after which the request is
     answered whatever has become of it.
     """
-    return limit <= left
+    return limit <= remaining
 
 
-class Terms(enum.Enum):
+class DrainAction(enum.Enum):
     """On what terms a request is taken."""
 
     RELAY = "its answer is passed on as it comes"
@@ -66,22 +66,22 @@
     REFUSE = "it isn't taken"
 
 
-def choose_terms(
-    *, left: float, limit: float, expected: float, is_repeatable: bool
-) -> Terms:
+def choose_drain_action(
+    *, remaining: float, limit: float, expected: float, is_repeatable: bool
+) -> DrainAction:
     """Return on what terms a process takes a request whose answer it can keep back.
 
     `expected` is the estimate of the seconds that it takes.  What may not be
     repeated isn't taken by an estimate: its caller couldn't ask again.
     """
-    if may_take(left=left, limit=limit):
-        return Terms.RELAY
-    if is_repeatable and expected * SPARE_FACTOR <= left:
-        return Terms.HOLD
-    return Terms.REFUSE
+    if may_take(remaining=remaining, limit=limit):
+        return DrainAction.RELAY
+    if is_repeatable and expected * SPARE_FACTOR <= remaining:
+        return DrainAction.HOLD
+    return DrainAction.REFUSE
 
 
-def find_return(readiness: Readiness) -> float:
+def find_retry_after(readiness: Readiness) -> float:
     """Return after how many seconds a refused caller best comes again."""
     if readiness.near_ready >= readiness.near * READY_SHARE:
         return SOON_SECONDS
--- a/eelgrassrack/decisions/doubt.py
+++ b/eelgrassrack/decisions/suspects.py
@@ -18,14 +18,14 @@
 
 # How long one loss counts.  Faults of this kind last some seconds, and an
 # endpoint that got sound meanwhile is missed by a small part of the work only.
-DOUBT_SECONDS = 3.0
+SUSPICION_SECONDS = 3.0
 
 
-def avoid_doubtful(
-    endpoints: Iterable[T], *, is_doubted: Callable[[T], bool], is_repeatable: bool
+def avoid_suspected(
+    endpoints: Iterable[T], *, is_suspected: Callable[[T], bool], is_repeatable: bool
 ) -> list[T]:
     """Return the endpoints that may get a request, all if all are doubted."""
     endpoints = list(endpoints)
     if is_repeatable:
         return endpoints
-    return [one for one in endpoints if not is_doubted(one)] or endpoints
+    return [one for one in endpoints if not is_suspected(one)] or endpoints
--- a/eelgrassrack/decisions/silence.py
+++ b/eelgrassrack/decisions/timeouts.py
@@ -21,12 +21,12 @@
 LEAST_GAP_SECONDS = 1.5
 
 
-def limit_first(*, expected: float, has_prompt: bool) -> float:
+def find_first_timeout(*, expected: float, has_prompt: bool) -> float:
     """Return the longest wait for the first piece, in seconds."""
     least = LEAST_READING_SECONDS if has_prompt else LEAST_FIRST_SECONDS
     return expected * FIRST_FACTOR + least
 
 
-def limit_gap(*, wanted: float) -> float:
+def find_gap_timeout(*, wanted: float) -> float:
     """Return the longest pause within a stream, in seconds."""
     return max(wanted * GAP_FACTOR, LEAST_GAP_SECONDS)
--- a/eelgrassrack/decisions/urgency.py
+++ b/eelgrassrack/decisions/urgency.py
@@ -20,14 +20,14 @@
 
 # Engines know ten ranks.
 RANKS = 10
-LAST = RANKS - 1
+LEAST_URGENT = RANKS - 1
 
 
-def find_urgency(*, rank: int, reading: float, gives_way: bool = False) -> int:
+def find_urgency(*, rank: int, reading: float, is_deprioritised: bool = False) -> int:
     """Return the rank for an engine, 0 for the most urgent, 9 for the least.
 
     `rank` is the operators' rank, `reading` the seconds to read the prompt.
-    What `gives_way` stands with the longest of its rank.
+    What `is_deprioritised` stands with the longest of its rank.
     """
-    size = SIZES - 1 if gives_way else bisect.bisect_right(SIZE_SECONDS, reading)
-    return min(max(rank, 0) * SIZES + size, LAST)
+    size = SIZES - 1 if is_deprioritised else bisect.bisect_right(SIZE_SECONDS, reading)
+    return min(max(rank, 0) * SIZES + size, LEAST_URGENT)
--- a/eelgrassrack/decisions/waiting.py
+++ b/eelgrassrack/decisions/waiting.py
@@ -39,7 +39,7 @@
 LEAST_WEIGHT = 0.01
 
 
-class Waiting(msgspec.Struct, kw_only=True, frozen=True):
+class QueuedRequest(msgspec.Struct, kw_only=True, frozen=True):
     """One request that waits.
 
     `tokens` is the expected cost, `deadline` and `arrived` are seconds on
--- a/eelgrassrack/decisions/watchers.py
+++ b/eelgrassrack/decisions/watchers.py
@@ -26,7 +26,7 @@
 WATCHERS = 4
 
 
-class Watch(msgspec.Struct, frozen=True):
+class WatchRole(msgspec.Struct, frozen=True):
     """An entry's place among those that watch, or None, and how many do.
 
     `is_standby` says that it watches only since none of those hears the store.
@@ -37,13 +37,15 @@
     is_standby: bool = False
 
 
-def find_watch(*, name: str, others: Iterable[str], is_store_heard: bool) -> Watch:
+def find_watch_role(
+    *, name: str, others: Iterable[str], is_store_reachable: bool
+) -> WatchRole:
     """Return whether an entry watches, given the names of the live others."""
     names = {name, *others}
     ranked = sorted(names, key=lambda one: xxhash.xxh3_64_intdigest(one.encode()))
     rank = ranked.index(name)
     if len(names) <= ALL_WATCH:
-        return Watch(rank, len(names))
-    if not is_store_heard:
-        return Watch(rank, len(names), is_standby=rank >= WATCHERS)
-    return Watch(rank if rank < WATCHERS else None, WATCHERS)
+        return WatchRole(rank, len(names))
+    if not is_store_reachable:
+        return WatchRole(rank, len(names), is_standby=rank >= WATCHERS)
+    return WatchRole(rank if rank < WATCHERS else None, WATCHERS)
--- a/eelgrassrack/entry/chat.py
+++ b/eelgrassrack/entry/chat.py
@@ -3,8 +3,8 @@
 import random
 from collections.abc import Callable
 
-from ..decisions.cascade import CascadePlan, Chooser, Deliver
-from ..decisions.stopping import Terms
+from ..decisions.cascade import CascadePlan, CascadePlanner, Deliver
+from ..decisions.stopping import DrainAction
 from ..document.sections import Organisation
 from ..document.snapshot import Snapshot
 from .answers import Labels, Responder, write_chat_body, write_error
@@ -36,7 +36,7 @@
     def __init__(
         self,
         *,
-        chooser: Chooser,
+        chooser: CascadePlanner,
         door: Door,
         identity: Identity,
         ledger: Callable[[], str],
@@ -97,7 +97,7 @@
         admitted = self._admit(arrival, organisation, snapshot, route)
         if isinstance(admitted, CallerError):
             return Failed(labels=labels, error=admitted)
-        if admitted is Terms.HOLD:
+        if admitted is DrainAction.HOLD:
             responder.keep_back()
         return Request(
             identity=labels.request,
@@ -115,7 +115,7 @@
         organisation: Organisation,
         snapshot: Snapshot,
         route: Route,
-    ) -> CallerError | Terms:
+    ) -> CallerError | DrainAction:
         return self._door.admit(
             organisation=organisation,
             snapshot=snapshot,
--- a/eelgrassrack/entry/core.py
+++ b/eelgrassrack/entry/core.py
@@ -184,7 +184,7 @@
             )
             for name in names
         ]
-        shares = self.health.shares(
+        shares = self.health.find_shares(
             versions=planned, now=now, policy=self.snapshot.policy
         )
         return {name: shares.get(name, 0.0) for name in names}
--- a/eelgrassrack/entry/doors.py
+++ b/eelgrassrack/entry/doors.py
@@ -19,7 +19,7 @@
     Refused,
     estimate_wait,
 )
-from ..decisions.stopping import Terms, choose_terms
+from ..decisions.stopping import DrainAction, choose_drain_action
 from ..decisions.waiting import count_ahead, is_patient
 from ..document.sections import Organisation
 from ..document.snapshot import Snapshot
@@ -65,7 +65,7 @@
         versions: list[tuple[str, ...]],
         service: str = "",
         repeatable: bool = True,
-    ) -> CallerError | Terms:
+    ) -> CallerError | DrainAction:
         """Let a request in, to be released later, or say why not.
 
         `versions` holds the versions of each step it may begin with.
@@ -85,13 +85,13 @@
             within=within,
             usual=snapshot.limits.default_deadline,
         )
-        terms = choose_terms(
-            left=self.ends_at - now,
+        terms = choose_drain_action(
+            remaining=self.ends_at - now,
             limit=limit,
             expected=_expect(arrival, organisation, backlog),
             is_repeatable=repeatable,
         )
-        if terms is Terms.REFUSE:
+        if terms is DrainAction.REFUSE:
             return refuse_unavailable(reason="draining")
         verdict = self._admission.judge(
             arrival=arrival,
--- a/eelgrassrack/entry/picker.py
+++ b/eelgrassrack/entry/picker.py
@@ -94,7 +94,7 @@
     def note_sent(self, known: Known) -> None:
         """Count an attempt that an endpoint is given."""
         known.running += 1
-        self._placement.sent(endpoint=known.name)
+        self._placement.note_sent(endpoint=known.name)
 
     def note_end(
         self,
@@ -111,10 +111,10 @@
         """
         known.running -= 1
         if _says_nothing(outcome):
-            self._placement.abandoned(endpoint=known.name)
+            self._placement.note_abandoned(endpoint=known.name)
             return
         now = self._clock()
-        self._placement.finished(
+        self._placement.note_finished(
             endpoint=known.name,
             succeeded=isinstance(outcome, Whole),
             seconds=(first_at or now) - began,
--- a/eelgrassrack/entry/ratings.py
+++ b/eelgrassrack/entry/ratings.py
@@ -12,7 +12,7 @@
 
 import logbook
 
-from ..decisions.cascade import Chooser
+from ..decisions.cascade import CascadePlanner
 from ..decisions.rollout import RolloutHealth, Sample
 from ..store.platform import NotRated, Rated, RatingClient
 from .channels import Broken, Lost, Whole
@@ -35,7 +35,7 @@
         self,
         *,
         client: RatingClient | None,
-        chooser: Chooser,
+        chooser: CascadePlanner,
         health: RolloutHealth,
         chance: random.Random,
         clock: Callable[[], float],
--- a/eelgrassrack/entry/services.py
+++ b/eelgrassrack/entry/services.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ..decisions.stopping import Terms
+from ..decisions.stopping import DrainAction
 from ..document.sections import Organisation
 from ..document.snapshot import Snapshot
 from .answers import Labels, Responder, write_body, write_error
@@ -54,7 +54,7 @@
             request=self._identity.make_request(), revision=snapshot.revision
         )
         result = self._check(arrival, organisation, snapshot)
-        if isinstance(result, Terms):
+        if isinstance(result, DrainAction):
             try:
                 result = await self._run(
                     arrival, organisation, snapshot, labels.request
@@ -75,7 +75,7 @@
 
     def _check(
         self, arrival: ServiceArrival, organisation: Organisation, snapshot: Snapshot
-    ) -> CallerError | Terms:
+    ) -> CallerError | DrainAction:
         if arrival.service not in organisation.services:
             return CallerError(
                 status=FORBIDDEN,
--- a/eelgrassrack/entry/serving.py
+++ b/eelgrassrack/entry/serving.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-from ..decisions.cascade import Chooser
+from ..decisions.cascade import CascadePlanner
 from ..decisions.domains import DomainRamp
 from ..decisions.placement import Placement
 from ..decisions.retries import RetryBudget
@@ -101,7 +101,7 @@
         pins = Pins(store=store, invariants=invariants)
         dispatcher = self._build_dispatcher(settings, suspects)
         self._door = door = Door(directory=directory, chance=chance, clock=clock)
-        chooser = Chooser()
+        chooser = CascadePlanner()
         health = RolloutHealth()
         self.ratings = Ratings(
             client=rating, chooser=chooser, health=health, chance=chance, clock=clock
@@ -191,7 +191,7 @@
 
     def _build_chat(
         self,
-        chooser: Chooser,
+        chooser: CascadePlanner,
         dispatcher: Dispatcher,
         door: Door,
         sessions: Sessions,
--- a/eelgrassrack/entry/sessions.py
+++ b/eelgrassrack/entry/sessions.py
@@ -157,7 +157,7 @@
             PlannedVersion(name=version.name, weight=version.weight, active=True)
             for version in step.active
         ]
-        return self._health.shares(versions=planned, now=now, policy=policy)
+        return self._health.find_shares(versions=planned, now=now, policy=policy)
 
     def _choose(self, shares: dict[str, float]) -> Picked | CallerError:
         chosen = choose_version(shares=shares, chance=self._random.random())
--- a/eelgrassrack/gateway/attempts.py
+++ b/eelgrassrack/gateway/attempts.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from ..decisions.modelchoice import choose_next
-from ..decisions.silence import limit_first, limit_gap
+from ..decisions.timeouts import find_first_timeout, find_gap_timeout
 from .endpoints import Endpoint
 from .errors import BrokenError, ConnectError
 from .events import EventSplitter, skip_known
@@ -102,7 +102,7 @@
         """
         if not job.reading:
             return
-        longest = limit_first(
+        longest = find_first_timeout(
             expected=job.expected, has_prompt=bool(job.arrival.tokens_in)
         )
         if self._loop.time() > job.sent_at + longest:
@@ -118,7 +118,7 @@
             arrival=arrival,
             endpoint=endpoint.name,
             organisation=job.permit.organisation_name,
-            left=job.deadline - self._loop.time(),
+            remaining=job.deadline - self._loop.time(),
             resume_after=job.resume_after,
             model=job.model,
             priority=job.urgency if arrival.tokens_in else None,
@@ -136,7 +136,7 @@
         """Relay an answer, and give up an endpoint that stays silent."""
         limit = None
         if job.is_repeatable and job.attempts_left:
-            limit = limit_first(
+            limit = find_first_timeout(
                 expected=job.expected, has_prompt=bool(job.arrival.tokens_in)
             )
         try:
@@ -210,7 +210,7 @@
             model=job.model,
             confidence=head.confidence,
             objective=objective,
-            left=job.deadline - self._loop.time(),
+            remaining=job.deadline - self._loop.time(),
             estimate=lambda one: self._placing.estimate(job, one),
         )
         if model is None or not self._may_repeat(job):
@@ -246,7 +246,7 @@
         reply: Reply,
         patience: asyncio.Timeout,
     ) -> Outcome:
-        gap = limit_gap(wanted=job.permit.route.gap)
+        gap = find_gap_timeout(wanted=job.permit.route.gap)
         splitter = EventSplitter(last=job.resume_after)
         resumed = reply.is_begun
         while True:
--- a/eelgrassrack/gateway/evidence.py
+++ b/eelgrassrack/gateway/evidence.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from ..decisions.doubt import DOUBT_SECONDS
-from ..decisions.poison import Crash, Poison
+from ..decisions.queryofdeath import Crash, QueryOfDeathDetector
+from ..decisions.suspects import SUSPICION_SECONDS
 from .endpoints import Endpoint
 from .fleet import Fleet
 from .flight import Flight
@@ -32,7 +32,7 @@
     def __init__(self, *, fleet: Fleet, rollouts: Rollouts) -> None:
         self._fleet = fleet
         self._rollouts = rollouts
-        self._poison = Poison()
+        self._poison = QueryOfDeathDetector()
         self._loop = asyncio.get_running_loop()
 
     def note_answer(
@@ -88,7 +88,7 @@
         flight = self._fleet.find_lifetime(endpoint)
         if flight is not None:
             flight.note_end(failed=True)
-            flight.doubted_until = self._loop.time() + DOUBT_SECONDS
+            flight.doubted_until = self._loop.time() + SUSPICION_SECONDS
             self._shun(flight)
 
     def note_dark(self, endpoint: Endpoint) -> None:
@@ -96,7 +96,7 @@
         flight = self._fleet.find_lifetime(endpoint)
         if flight is not None:
             flight.badness = max(flight.badness, OFTEN_BAD)
-            flight.doubted_until = self._loop.time() + DOUBT_SECONDS
+            flight.doubted_until = self._loop.time() + SUSPICION_SECONDS
             self._shun(flight)
 
     def note_gone(self, lifetime: tuple[str, int]) -> None:
@@ -104,10 +104,10 @@
         name, born = lifetime
         self._poison.note_down(endpoint=name, born=born, now=self._loop.time())
 
-    def is_guilty(self, job: "Job") -> bool:
+    def is_culprit(self, job: "Job") -> bool:
         """Tell whether a request crashes the endpoints that run it."""
         now = self._loop.time()
-        return self._poison.is_guilty(fingerprint=job.fingerprint, now=now)
+        return self._poison.is_culprit(fingerprint=job.fingerprint, now=now)
 
     def take_news(self, heard: Iterable[News]) -> None:
         """Take over the crashes that peers found."""
@@ -118,7 +118,7 @@
 
     def tell_crashes(self) -> tuple[Crash, ...]:
         """Return the crashes that were found, for peers."""
-        return self._poison.tell(now=self._loop.time())
+        return self._poison.report(now=self._loop.time())
 
     def tell_doubted(self) -> tuple[int, ...]:
         """Return the lifetimes that lost an answer here lately, for peers."""
--- a/eelgrassrack/gateway/flight.py
+++ b/eelgrassrack/gateway/flight.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from ..decisions.backlog import Backlog, Split
+from ..decisions.backlog import ReadingBacklog, Split
 from ..decisions.slowness import Timing
 from .endpoints import Endpoint
 
@@ -57,9 +57,9 @@
         self.key = xxhash.xxh32_intdigest(f"{name}.{born}".encode())
         self.cold_until = now + endpoint.cold
         self.own = 0
-        self.own_backlog = Backlog()
+        self.own_backlog = ReadingBacklog()
         self.peers = 0
-        self.peers_backlog = Backlog()
+        self.peers_backlog = ReadingBacklog()
         self.parts: dict[str, float] = {}
         self.badness = 0.0
         self.cold_sends: collections.deque[float] = collections.deque()
--- a/eelgrassrack/gateway/flightnews.py
+++ b/eelgrassrack/gateway/flightnews.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from ..decisions.backlog import Backlog
+from ..decisions.backlog import ReadingBacklog
 from ..decisions.slowness import Timing, find_slow
 from .fleet import Fleet
 from .flight import Flight
@@ -62,7 +62,7 @@
 
     def __init__(self) -> None:
         self.running = 0
-        self.backlog = Backlog()
+        self.backlog = ReadingBacklog()
         self.timing = Timing()
 
     def add(self, told: FlightNews) -> None:
--- a/eelgrassrack/gateway/job.py
+++ b/eelgrassrack/gateway/job.py
@@ -5,7 +5,7 @@
 import msgspec
 import xxhash
 
-from ..decisions.urgency import LAST
+from ..decisions.urgency import LEAST_URGENT
 from .messages import Arrival, Head
 from .plan import Permit
 
@@ -123,7 +123,7 @@
         self.expected = 0.0
         self.usual = 0.0
         self.reading = 0.0
-        self.urgency = LAST
+        self.urgency = LEAST_URGENT
         self.was_idle = False
 
     @property
--- a/eelgrassrack/gateway/knowledge.py
+++ b/eelgrassrack/gateway/knowledge.py
@@ -8,8 +8,8 @@
 import logbook
 
 from ..decisions.sources import Source, rank_sources
-from ..decisions.watchers import Watch, find_watch
-from ..decisions.watchturns import find_wait
+from ..decisions.watchers import WatchRole, find_watch_role
+from ..decisions.watchschedule import find_wait
 from .endpoints import Endpoint
 from .fleet import Fleet
 from .follower import Contact, Follower, Store, TakeChanges, TakeList
@@ -170,13 +170,13 @@
             return Need.PATIENT if informed else Need.NONE
         return Need.PATIENT if is_newer else Need.NONE
 
-    def _find_watch(self) -> Watch:
+    def _find_watch(self) -> WatchRole:
         """Return this gateway's place among those that watch the store."""
         heard = self._list_heard()
-        return find_watch(
+        return find_watch_role(
             name=self._settings.name,
             others=(news.name for news in heard),
-            is_store_heard=any(news.knows_store for news in heard),
+            is_store_reachable=any(news.knows_store for news in heard),
         )
 
     def is_watcher(self) -> bool:
--- a/eelgrassrack/gateway/news.py
+++ b/eelgrassrack/gateway/news.py
@@ -20,10 +20,10 @@
 import msgspec
 
 from ..decisions.fairshare import Told
-from ..decisions.poison import Crash
+from ..decisions.precedence import Sharer
+from ..decisions.queryofdeath import Crash
 from ..decisions.stopping import Readiness
-from ..decisions.turns import Sharer
-from ..decisions.urgency import LAST
+from ..decisions.urgency import LEAST_URGENT
 from ..decisions.versiontrial import Tally
 from .beliefs import Peer
 
@@ -56,7 +56,7 @@
 class BacklogNews(msgspec.Struct, frozen=True, array_like=True):
     """The time that an endpoint needs to read its prompts of one urgency."""
 
-    urgency: Annotated[int, msgspec.Meta(ge=0, le=LAST)]
+    urgency: Annotated[int, msgspec.Meta(ge=0, le=LEAST_URGENT)]
     milliseconds: int
 
 
--- a/eelgrassrack/gateway/placing.py
+++ b/eelgrassrack/gateway/placing.py
@@ -7,17 +7,17 @@
 
 import logbook
 
-from ..decisions.doubt import avoid_doubtful
 from ..decisions.engines import (
-    Candidate,
-    Choice,
+    EngineCandidate,
+    EngineChoice,
     choose_engine,
 )
 from ..decisions.fairshare import Told, Usage
 from ..decisions.modelchoice import Estimate
 from ..decisions.pace import BASE_SECONDS, Pace
+from ..decisions.precedence import Sharer, count_before
 from ..decisions.sharedbudget import share_cold_rate
-from ..decisions.turns import Sharer, count_before
+from ..decisions.suspects import avoid_suspected
 from .endpoints import Endpoint
 from .evidence import Evidence
 from .fleet import Fleet
@@ -122,7 +122,7 @@
         while True:
             now = self._loop.time()
             self._add_up_news()
-            if self.evidence.is_guilty(job):
+            if self.evidence.is_culprit(job):
                 return POISON
             flights = self._select_trusted(job, now)
             if not flights:
@@ -251,7 +251,7 @@
 
     def tell_usage(self) -> Told:
         """Return what organisations had engines read, for peers."""
-        return self._usage.tell()
+        return self._usage.report()
 
     def note_news(self) -> None:
         """Note that there are news of peers, or that a peer fell silent.
@@ -281,9 +281,9 @@
         return [one for one in flights if one.endpoint.name not in passed_over]
 
     def _select_trusted(self, job: "Job", now: float) -> list[Flight]:
-        return avoid_doubtful(
+        return avoid_suspected(
             self._select(job, passed_over=job.passed_over),
-            is_doubted=lambda one: one.is_doubted(now),
+            is_suspected=lambda one: one.is_doubted(now),
             is_repeatable=job.is_repeatable,
         )
 
@@ -300,7 +300,7 @@
         )
         return chosen.endpoint
 
-    def _weigh(self, job: "Job", model: str, flights: list[Flight]) -> Choice:
+    def _weigh(self, job: "Job", model: str, flights: list[Flight]) -> EngineChoice:
         now = self._loop.time()
         affinity = find_affinity(job, model)
         reading = find_reading(job, model, self._pace)
@@ -310,7 +310,7 @@
             reading=reading,
             affinity=affinity,
             spread=self._settings.name,
-            left=self._find_left(job, model, now),
+            remaining=self._find_left(job, model, now),
         )
 
     def _find_left(self, job: "Job", model: str, now: float) -> float:
@@ -361,9 +361,9 @@
 
     def _describe(
         self, flight: Flight, urgency: int, affinity: str, now: float
-    ) -> Candidate:
+    ) -> EngineCandidate:
         split = flight.split_backlog(urgency)
-        return Candidate(
+        return EngineCandidate(
             name=flight.endpoint.name,
             wait=split.wait,
             burden=split.burden,
--- a/eelgrassrack/gateway/prompts.py
+++ b/eelgrassrack/gateway/prompts.py
@@ -3,22 +3,22 @@
 from collections.abc import Collection
 from typing import TYPE_CHECKING
 
-from ..decisions.engines import PLAIN_SECONDS, Reading
+from ..decisions.engines import PLAIN_REQUEST_SECONDS, ReadingTime
 from ..decisions.pace import Pace
-from ..decisions.urgency import LAST, find_urgency
+from ..decisions.urgency import LEAST_URGENT, find_urgency
 
 if TYPE_CHECKING:
     from .job import Job
 
 
-def find_reading(job: "Job", model: str, pace: Pace) -> Reading:
+def find_reading(job: "Job", model: str, pace: Pace) -> ReadingTime:
     """Return the seconds that a model needs to read the prompt."""
     arrival = job.arrival
     if not arrival.tokens_in:
-        return Reading(whole=PLAIN_SECONDS)
+        return ReadingTime(whole=PLAIN_REQUEST_SECONDS)
     cost = find_cost(job, model)
     shared = sum(part.tokens for part in arrival.parts[:-1])
-    return Reading(
+    return ReadingTime(
         whole=pace.estimate(model=model, cost=cost, tokens=arrival.tokens_in),
         shared=pace.estimate(model=model, cost=cost, tokens=shared),
     )
@@ -30,11 +30,11 @@
     `heavy` are the organisations whose prompts give way to those of others.
     """
     if not job.arrival.tokens_in:
-        return LAST
+        return LEAST_URGENT
     return find_urgency(
         rank=job.permit.priority,
         reading=reading,
-        gives_way=job.permit.organisation_name in heavy,
+        is_deprioritised=job.permit.organisation_name in heavy,
     )
 
 
--- a/eelgrassrack/gateway/serving.py
+++ b/eelgrassrack/gateway/serving.py
@@ -13,7 +13,7 @@
 
 from ..decisions.modelchoice import choose_first
 from ..decisions.sharedbudget import allow_retry
-from ..decisions.stopping import Readiness, find_return, may_take
+from ..decisions.stopping import Readiness, find_retry_after, may_take
 from .attempts import Attempts
 from .endpoints import Endpoint
 from .job import Delivered, Failed, Job, Lost, NotRun, Outcome, Standing, Unsure
@@ -173,7 +173,7 @@
         return Refusal(
             status=status,
             reason="stopping",
-            retry_after=find_return(self._tell_readiness()),
+            retry_after=find_retry_after(self._tell_readiness()),
         )
 
     def _may_take(self, job: Job) -> bool:
@@ -183,7 +183,7 @@
         now = self._loop.time()
         left = self._ends_at - now
         limit = job.deadline - now
-        is_taken = may_take(left=left, limit=limit)
+        is_taken = may_take(remaining=left, limit=limit)
         log_late(job.arrival, left=left, limit=limit, is_taken=is_taken)
         return is_taken
 
@@ -194,7 +194,7 @@
             attempts=route.attempts,
             is_repeatable=route.is_repeatable and not job.resume_after,
             objective=route.objective,
-            left=job.deadline - self._loop.time(),
+            remaining=job.deadline - self._loop.time(),
             estimate=lambda one: self._placing.estimate(job, one),
         )
 
--- a/eelgrassrack/gateway/translation.py
+++ b/eelgrassrack/gateway/translation.py
@@ -19,12 +19,12 @@
         arrival: Arrival,
         endpoint: str,
         organisation: str,
-        left: float,
+        remaining: float,
         resume_after: str,
         model: str,
         priority: int | None,
     ) -> list[tuple[str, str]]:
-        """Return the header fields for an endpoint; `left` is in seconds."""
+        """Return the header fields for an endpoint; `remaining` is in seconds."""
 
     def decode_head(self, *, status: int, reason: str, pairs: object) -> Head:
         """Return the head of an endpoint's answer."""
--- a/eelgrassrack/platform/headers.py
+++ b/eelgrassrack/platform/headers.py
@@ -92,18 +92,18 @@
     arrival: Arrival,
     endpoint: str,
     organisation: str,
-    left: float,
+    remaining: float,
     resume_after: str,
     model: str,
     priority: int | None,
 ) -> list[tuple[str, str]]:
-    """Return the header fields for an endpoint; `left` is in seconds."""
+    """Return the header fields for an endpoint; `remaining` is in seconds."""
     pairs = [("Host", arrival.host)]
     pairs += [
         (name, model if name.lower() == "x-model" else value)
         for name, value in arrival.headers
     ]
-    pairs.append((DEADLINE, str(max(int(left * MILLISECONDS), 1))))
+    pairs.append((DEADLINE, str(max(int(remaining * MILLISECONDS), 1))))
     pairs.append((EXPECT_ENDPOINT, endpoint))
     if organisation:
         pairs.append((ORGANISATION, organisation))
--- a/test/agent/test_health.py
+++ b/test/agent/test_health.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from eelgrassrack.agent.health import Down, Health, Report
-from eelgrassrack.decisions.coldstart import Collapse
+from eelgrassrack.decisions.coldstart import CollapseReason
 
 
 def note_all(*reports):
@@ -28,7 +28,7 @@
     once it falls over again, and its callers lose their answers again.
     """
     health, collapses = note_all(Report(incarnation="a"), Report(incarnation="b"))
-    assert collapses == [Collapse.ENGINE_RESTARTED]
+    assert collapses == [CollapseReason.ENGINE_RESTARTED]
     assert health.restarted_at == 7.0
 
 
@@ -36,13 +36,15 @@
     health, collapses = note_all(Report(), Down(), Down())
     assert not health.is_up
     assert collapses == []
-    assert note_all(Report(), Down(), Report())[1] == [Collapse.ENGINE_RESTARTED]
+    assert note_all(Report(), Down(), Report())[1] == [CollapseReason.ENGINE_RESTARTED]
 
 
 def test_a_cold_start_is_taken_once_each_time():
     cold = Report(incarnation="a", cold=True)
     warm = Report(incarnation="a")
-    assert note_all(warm, cold, cold, warm, cold)[1] == [Collapse.REPORTED_COLD] * 2
+    assert (
+        note_all(warm, cold, cold, warm, cold)[1] == [CollapseReason.REPORTED_COLD] * 2
+    )
 
 
 def test_a_late_answer_is_no_restart():
@@ -56,4 +58,4 @@
     assert health.is_up
     assert collapses == []
     changed = note_all(same, Down(), Report(incarnation="b"))[1]
-    assert changed == [Collapse.ENGINE_RESTARTED]
+    assert changed == [CollapseReason.ENGINE_RESTARTED]
--- a/test/agent/test_runner.py
+++ b/test/agent/test_runner.py
@@ -7,7 +7,7 @@
 
 from eelgrassrack.agent.outcomes import Bad, Broken, NotConnected
 from eelgrassrack.agent.runner import NEXT_TOKEN_SECONDS
-from eelgrassrack.decisions.coldstart import Collapse
+from eelgrassrack.decisions.coldstart import CollapseReason
 from eelgrassrack.mailbox.messages import (
     Ask,
     Begun,
@@ -247,7 +247,7 @@
         facts = msgspec.structs.replace(FACTS, revision=2, cold_concurrency=1)
         await station.take(*(make_start(f"a{n}") for n in range(6)))
         await station.take(facts)
-        station.core.collapse(Collapse.REPORTED_COLD)
+        station.core.collapse(CollapseReason.REPORTED_COLD)
         await station.end("a0")
         assert len(station.engine.ran) == 2
         await station.end("a1")
@@ -268,7 +268,7 @@
         await station.take(make_start("a"), make_start("b"))
         cold = msgspec.structs.replace(FACTS, revision=2, cold_concurrency=1)
         await station.take(cold)
-        station.core.collapse(Collapse.REPORTED_COLD)
+        station.core.collapse(CollapseReason.REPORTED_COLD)
         said = await station.watch(lambda: connect_all(station))
         assert refusals(said) == {"b": Refusal.FULL}
         await station.end("a")
--- a/test/decisions/deployments.py
+++ b/test/decisions/deployments.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from eelgrassrack.decisions.engines import Candidate, Reading, choose_engine
+from eelgrassrack.decisions.engines import EngineCandidate, ReadingTime, choose_engine
 from eelgrassrack.decisions.modelchoice import Estimate, choose_first, choose_next
 
 REQUESTS = 1_500
@@ -163,14 +163,14 @@
         )
         return Estimate(wait + seconds, wait, wait + seconds)
 
-    left = request.at + TIME_LEFT - now
+    remaining = request.at + TIME_LEFT - now
     if model is None:
         chosen = choose_first(
             models=names,
             attempts=3,
             is_repeatable=True,
             objective=request.objective,
-            left=left,
+            remaining=remaining,
             estimate=estimate,
         )
     else:
@@ -179,7 +179,7 @@
             model=model.name,
             confidence=request.opinions[names.index(model.name)],
             objective=request.objective,
-            left=left,
+            remaining=remaining,
             estimate=estimate,
         )
     return by_name.get(chosen)
@@ -196,7 +196,7 @@
 def place_ours(deployment, request, model, now):
     """Return the engine as the product does."""
     candidates = [
-        Candidate(
+        EngineCandidate(
             name=one.name,
             wait=max(one.free_at - now, 0.0),
             burden=max(one.free_at - now, 0.0),
@@ -209,10 +209,10 @@
     ]
     chosen = choose_engine(
         candidates=candidates,
-        reading=Reading(whole=request.tokens * model.pace),
+        reading=ReadingTime(whole=request.tokens * model.pace),
         affinity="",
         spread="entry",
-        left=request.at + request.objective - now,
+        remaining=request.at + request.objective - now,
     )
     return next(one for one in deployment.engines if one.name == chosen.name)
 
--- a/test/decisions/test_cascade.py
+++ b/test/decisions/test_cascade.py
@@ -7,7 +7,7 @@
 
 from eelgrassrack.decisions.cascade import (
     SILENT_AFTER,
-    Chooser,
+    CascadePlanner,
     Deliver,
     Escalate,
     EscalateReason,
@@ -44,7 +44,7 @@
     Always the best model costs 16 a request; the target holds for all.
     """
     goods = {"easy": (0.95, 0.97, 0.99), "hard": (0.05, 0.1, 0.97)}
-    chooser, dice = Chooser(), random.Random(1)
+    chooser, dice = CascadePlanner(), random.Random(1)
     costs, delivered = [], []
     firsts = {"easy": [], "hard": []}
     for number in range(2_000):
@@ -70,7 +70,7 @@
 
 
 def test_sure_rung_streams_for_latency_only():
-    chooser = Chooser()
+    chooser = CascadePlanner()
     teach(chooser, "k", "small", *[0.9 + n / 1_000 for n in range(40)])
     latency = plan(chooser, preference=Preference.LATENCY)
     assert (latency.first, latency.direct) == (0, True)
@@ -80,7 +80,7 @@
 
 def test_latency_goes_on_less():
     """One in three answers of the small model must be done again."""
-    chooser = Chooser()
+    chooser = CascadePlanner()
     ratings = [0.9, 0.85, 0.5] * 20
     teach(chooser, "k", "small", *ratings)
     teach(chooser, "k", "middle", *[0.9 + n / 1_000 for n in range(60)])
@@ -89,7 +89,7 @@
 
 
 def test_exploring_tries_the_rung_below():
-    chooser = Chooser()
+    chooser = CascadePlanner()
     teach(chooser, "k", "small", *[0.1 + n / 1_000 for n in range(40)])
     teach(chooser, "k", "middle", *[0.1 + n / 1_000 for n in range(40)])
     assert plan(chooser).first == 2
@@ -101,7 +101,7 @@
 
     Asking every rung each time would multiply the load for nothing.
     """
-    chooser = Chooser()
+    chooser = CascadePlanner()
     teach(chooser, "easy", "small", *[0.9 + n / 1_000 for n in range(40)])
     escalated = 0
     for _ in range(100):
@@ -119,7 +119,7 @@
 
 
 def test_slow_rating_delivers_what_is_usually_good():
-    chooser = Chooser()
+    chooser = CascadePlanner()
     teach(chooser, "k", "small", *[0.9 + n / 1_000 for n in range(40)])
     judged = {
         kind: chooser.judge(
@@ -132,7 +132,7 @@
 
 
 def test_service_that_rates_all_too_low_costs_no_more_than_the_best():
-    chooser, dice = Chooser(), random.Random(1)
+    chooser, dice = CascadePlanner(), random.Random(1)
     firsts = []
     for _ in range(60):
         at = plan(chooser)
@@ -143,14 +143,14 @@
 
 
 def test_stuck_service_stops_teaching():
-    chooser = Chooser()
+    chooser = CascadePlanner()
     teach(chooser, "k", "small", *[1.0] * 60)
     assert chooser.is_blind
 
 
 @pytest.mark.parametrize("rating", [math.nan, -0.1, 1.5])
 def test_impossible_rating_counts_as_none(rating):
-    chooser = Chooser()
+    chooser = CascadePlanner()
     verdict = chooser.judge(rating=rating, target=TARGET, rung=RUNGS[0], last=False)
     assert verdict == Escalate(reason=EscalateReason.NO_RATING)
     teach(chooser, "k", "small", rating)
@@ -164,7 +164,7 @@
     more than a bad answer.
     """
     thrifty, hasty = Policy(cost=3, exposure=3), Policy(latency=3)
-    chooser = Chooser()
+    chooser = CascadePlanner()
     teach(chooser, "half", "small", *[0.9, 0.5] * 50)
     teach(chooser, "good", "small", *[0.9, 0.5] * 13, *[0.9] * 37, *[0.95] * 37)
 
--- a/test/decisions/test_coldstart.py
+++ b/test/decisions/test_coldstart.py
@@ -3,7 +3,7 @@
 import hypothesis.strategies as st
 from hypothesis import given, settings
 
-from eelgrassrack.decisions.coldstart import SHORTEST_WARM_UP, Collapse, Window
+from eelgrassrack.decisions.coldstart import SHORTEST_WARM_UP, CollapseReason, Window
 
 
 def warm_up(window, *, now):
@@ -17,16 +17,16 @@
     Given all of it at once it would fall over again.
     """
     window = Window(floor=2, ceiling=16, now=0.0)
-    assert window.room(running=0) == 2
-    assert window.room(running=5) == 0
+    assert window.count_free(running=0) == 2
+    assert window.count_free(running=5) == 0
     for _ in range(4):
         window.complete(now=100.0)
     assert window.size == 4
     warm_up(window, now=100.0)
     assert window.size == 16
-    window.collapse(now=101.0, reason=Collapse.ENGINE_RESTARTED)
+    window.collapse(now=101.0, reason=CollapseReason.ENGINE_RESTARTED)
     assert window.size == 2
-    assert window.reason is Collapse.ENGINE_RESTARTED
+    assert window.reason is CollapseReason.ENGINE_RESTARTED
 
 
 def test_burst_of_short_answers_does_not_open_it():
@@ -40,7 +40,7 @@
 
 def test_answer_from_before_the_collapse_does_not_count():
     window = Window(floor=2, ceiling=16, now=0.0)
-    window.collapse(now=50.0, reason=Collapse.REPORTED_COLD)
+    window.collapse(now=50.0, reason=CollapseReason.REPORTED_COLD)
     for _ in range(20):
         window.complete(now=100.0, began=49.0)
     assert window.size == 2
@@ -53,10 +53,10 @@
     callers would lose their answers.
     """
     window = Window(floor=1, ceiling=16, now=0.0)
-    window.is_held = True
+    window.is_growth_paused = True
     warm_up(window, now=100.0)
     assert window.size == 1
-    window.is_held = False
+    window.is_growth_paused = False
     warm_up(window, now=100.0)
     assert window.size == 16
 
@@ -95,7 +95,7 @@
                 window.complete(now=now)
                 assert before <= window.size <= before + 1
             case "collapse":
-                window.collapse(now=now, reason=Collapse.ENGINE_FAILED)
+                window.collapse(now=now, reason=CollapseReason.ENGINE_FAILED)
                 assert window.size == window.floor
             case "resize":
                 window.resize(floor=low, ceiling=high)
--- a/test/decisions/test_engines.py
+++ b/test/decisions/test_engines.py
@@ -3,7 +3,7 @@
 import collections
 import random
 
-from eelgrassrack.decisions.engines import Candidate, Reading, choose_engine
+from eelgrassrack.decisions.engines import EngineCandidate, ReadingTime, choose_engine
 
 
 def make(count, **rest):
@@ -12,7 +12,7 @@
 
 def make_one(*, name, backlog=0.0, running=0, slots=48, is_near=True, **rest):
     """Return an engine whose whole backlog is as urgent as the request."""
-    return Candidate(
+    return EngineCandidate(
         name=name,
         wait=backlog,
         burden=backlog,
@@ -24,14 +24,20 @@
 
 
 def choose(
-    candidates, *, reading=0.05, shared=0.02, affinity="part", spread="one", left=0.0
+    candidates,
+    *,
+    reading=0.05,
+    shared=0.02,
+    affinity="part",
+    spread="one",
+    remaining=0.0,
 ):
     return choose_engine(
         candidates=candidates,
-        reading=Reading(whole=reading, shared=shared),
+        reading=ReadingTime(whole=reading, shared=shared),
         affinity=affinity,
         spread=spread,
-        left=left,
+        remaining=remaining,
     )
 
 
@@ -133,14 +139,14 @@
     """
     near = make_one(name="near", backlog=0.01)
     idle = [make_far(f"far{number}") for number in range(4)]
-    assert choose([near, *idle], left=2.0, affinity="").name == "near"
-    assert choose([near, *idle], left=0.0, affinity="").name != "near"
+    assert choose([near, *idle], remaining=2.0, affinity="").name == "near"
+    assert choose([near, *idle], remaining=0.0, affinity="").name != "near"
 
 
 def test_a_queue_in_a_domain_overflows_to_others():
     """A third of the callers come to the domain with a fifth of the engines."""
     near = make_one(name="near", backlog=0.5)
-    assert choose([near, make_far("far")], left=1.0).name == "far"
+    assert choose([near, make_far("far")], remaining=1.0).name == "far"
 
 
 def test_a_long_prompt_goes_where_it_is_read_first():
@@ -149,7 +155,7 @@
     Its domain's only engine gets all of these; its caller would wait too long.
     """
     near = make_one(name="near", backlog=0.02)
-    chosen = choose([near, make_far("far")], left=2.0, reading=0.8, shared=0.0)
+    chosen = choose([near, make_far("far")], remaining=2.0, reading=0.8, shared=0.0)
     assert chosen.name == "far"
 
 
@@ -163,7 +169,7 @@
                 make_one(name=name, is_near=number % 3 == domain)
                 for number, name in enumerate(engines)
             ],
-            left=1.0,
+            remaining=1.0,
         ).name
 
     holders = [find_holder(domain) for domain in range(3)]
--- a/test/decisions/test_fairqueue.py
+++ b/test/decisions/test_fairqueue.py
@@ -6,7 +6,11 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from eelgrassrack.decisions.fairqueue import TOKENS_PER_PRIORITY, FairQueue, Waiting
+from eelgrassrack.decisions.fairqueue import (
+    TOKENS_PER_PRIORITY,
+    FairQueue,
+    QueuedRequest,
+)
 from eelgrassrack.decisions.waiting import HIGHEST_PRIORITY
 
 FAR = 1e9
@@ -14,7 +18,7 @@
 
 
 def wait(key, *, organisation="a", deadline=FAR, arrived=0.0, **rest):
-    return Waiting(
+    return QueuedRequest(
         key=key, organisation=organisation, deadline=deadline, arrived=arrived, **rest
     )
 
@@ -189,7 +193,7 @@
     )
     def push(self, organisation, tokens, priority, within):
         """Add a request, once."""
-        waiting = Waiting(
+        waiting = QueuedRequest(
             key=f"k{self.count}",
             organisation=organisation,
             tokens=tokens,
--- a/test/decisions/test_fairshare.py
+++ b/test/decisions/test_fairshare.py
@@ -1,6 +1,6 @@
 """Tests of which organisations give way."""
 
-from eelgrassrack.decisions.backlog import Backlog
+from eelgrassrack.decisions.backlog import ReadingBacklog
 from eelgrassrack.decisions.fairshare import MOST_TOLD, Usage
 from eelgrassrack.decisions.urgency import find_urgency
 
@@ -27,12 +27,12 @@
 
 def test_a_burst_at_other_entries_counts():
     """Callers of the hot organisation reach other entries than this one."""
-    told = [make_usage(hot={"org3"}, times=20.0).tell() for _ in range(3)]
+    told = [make_usage(hot={"org3"}, times=20.0).report() for _ in range(3)]
     assert make_usage().find_heavy(told) == {"org3"}
 
 
 def test_peers_are_told_of_a_few_only():
-    told = make_usage(hot={"org3"}, times=8.0).tell()
+    told = make_usage(hot={"org3"}, times=8.0).report()
     assert len(told.heaviest) == MOST_TOLD
     assert told.heaviest[0].organisation == "org3"
     assert told.milliseconds == 950
@@ -58,14 +58,14 @@
 
     A question of another waits for its like alone, not for the burst.
     """
-    heavy = find_urgency(rank=0, reading=0.01, gives_way=True)
+    heavy = find_urgency(rank=0, reading=0.01, is_deprioritised=True)
     other = find_urgency(rank=0, reading=0.01)
-    backlog = Backlog([(heavy, 0.01)] * 300 + [(other, 0.01)] * 5)
+    backlog = ReadingBacklog([(heavy, 0.01)] * 300 + [(other, 0.01)] * 5)
     assert backlog.split(other).ahead < 0.06
     assert backlog.split(heavy).ahead > 3.0
 
 
 def test_ranks_of_operators_come_first():
     """What gives way still goes before a lower rank."""
-    heavy = find_urgency(rank=0, reading=0.01, gives_way=True)
+    heavy = find_urgency(rank=0, reading=0.01, is_deprioritised=True)
     assert heavy < find_urgency(rank=1, reading=0.01)
--- a/test/decisions/test_modelchoice.py
+++ b/test/decisions/test_modelchoice.py
@@ -20,18 +20,18 @@
         attempts=attempts,
         is_repeatable=is_repeatable,
         objective=objective,
-        left=19.0,
+        remaining=19.0,
         estimate=estimate,
     )
 
 
-def following(confidence, model="small", estimate=idle, left=19.0):
+def following(confidence, model="small", estimate=idle, remaining=19.0):
     return choose_next(
         models=MODELS,
         model=model,
         confidence=confidence,
         objective=2.0,
-        left=left,
+        remaining=remaining,
         estimate=estimate,
     )
 
@@ -105,8 +105,8 @@
         return Estimate(SECONDS[model], 0.0, {"large": 6.0}.get(model, 2.0))
 
     assert following(20, estimate=slow) == "large"
-    assert following(20, estimate=slow, left=5.0) is None
-    assert following(50, estimate=slow, left=5.0) == "middle"
+    assert following(20, estimate=slow, remaining=5.0) is None
+    assert following(50, estimate=slow, remaining=5.0) == "middle"
 
 
 def test_a_short_prompt_gets_a_better_model_though_engines_have_a_queue():
--- a/test/decisions/test_placement.py
+++ b/test/decisions/test_placement.py
@@ -54,7 +54,7 @@
     counts = collections.Counter()
     for _ in range(100):
         chosen = pick(placement, [idle, *busy], dice=dice)
-        placement.sent(endpoint=chosen.name)
+        placement.note_sent(endpoint=chosen.name)
         counts[chosen.name] += 1
     assert counts["e0"] < 25
 
@@ -66,7 +66,7 @@
     counts = collections.Counter()
     for _ in range(60):
         chosen = pick(placement, [cold, *make(7)], dice=dice)
-        placement.sent(endpoint=chosen.name)
+        placement.note_sent(endpoint=chosen.name)
         counts[chosen.name] += 1
     assert counts["cold"] <= 2
 
@@ -79,7 +79,7 @@
     chosen = []
     for _ in range(12):
         one = pick(placement, near + far, dice=dice)
-        placement.sent(endpoint=one.name)
+        placement.note_sent(endpoint=one.name)
         chosen.append(one.domain)
     assert chosen[:6] == ["d0"] * 6
     assert "d1" in chosen
@@ -95,7 +95,7 @@
     counts = collections.Counter()
     for _ in range(40):
         chosen = pick(placement, candidates, dice=dice, affinity="s")
-        placement.sent(endpoint=chosen.name)
+        placement.note_sent(endpoint=chosen.name)
         counts[chosen.name] += 1
     assert max(counts.values()) <= 12
     spread = {
@@ -107,8 +107,10 @@
 
 def finish(placement, name, *, now, succeeded=True, seconds=0.5, times=1):
     for _ in range(times):
-        placement.sent(endpoint=name)
-        placement.finished(endpoint=name, succeeded=succeeded, seconds=seconds, now=now)
+        placement.note_sent(endpoint=name)
+        placement.note_finished(
+            endpoint=name, succeeded=succeeded, seconds=seconds, now=now
+        )
 
 
 def test_slow_endpoint_is_ejected_and_tried_again_gently():
--- a/test/decisions/test_turns.py
+++ b/test/decisions/test_precedence.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eelgrassrack.decisions.turns import Sharer, count_before
+from eelgrassrack.decisions.precedence import Sharer, count_before
 
 DOMAINS = ("north", "south")
 ENTRIES = st.lists(st.sampled_from(DOMAINS), min_size=1, max_size=40).map(
--- a/test/decisions/test_reserve.py
+++ b/test/decisions/test_reserve.py
@@ -1,11 +1,11 @@
 """Tests of the slots kept for organisations with little running."""
 
-from eelgrassrack.decisions.fairqueue import FairQueue, Waiting
-from eelgrassrack.decisions.reserve import LAPSE_SECONDS, Reserve
+from eelgrassrack.decisions.fairqueue import FairQueue, QueuedRequest
+from eelgrassrack.decisions.reserve import LAPSE_SECONDS, SlotReserve
 
 
 def wait(key, organisation):
-    return Waiting(key=key, organisation=organisation, deadline=1e9, arrived=0.0)
+    return QueuedRequest(key=key, organisation=organisation, deadline=1e9, arrived=0.0)
 
 
 def pop(queue, reserve, *, running, now=1.0):
@@ -19,7 +19,7 @@
     A quiet caller's request then finds a slot at once, in place of waiting
     for a long job to end.
     """
-    queue, reserve = FairQueue(), Reserve()
+    queue, reserve = FairQueue(), SlotReserve()
     reserve.start(organisation="quiet", now=0.0)
     reserve.end(organisation="quiet")
     for number in range(20):
@@ -34,7 +34,7 @@
 
 
 def test_lone_organisation_gets_the_whole_window():
-    queue, reserve = FairQueue(), Reserve()
+    queue, reserve = FairQueue(), SlotReserve()
     for number in range(20):
         queue.push(wait(f"h{number}", "hot"))
     for _ in range(15):
@@ -46,7 +46,7 @@
 
 
 def test_cold_window_keeps_no_slot():
-    queue, reserve = FairQueue(), Reserve()
+    queue, reserve = FairQueue(), SlotReserve()
     reserve.start(organisation="quiet", now=0.0)
     for _ in range(2):
         reserve.start(organisation="hot", now=0.0)
--- a/test/decisions/test_rollout.py
+++ b/test/decisions/test_rollout.py
@@ -38,7 +38,7 @@
     """Send requests by share and return how many each version got."""
     counts = collections.Counter()
     for number in range(start, start + count):
-        shares = health.shares(versions=PLAN, now=float(number), policy=policy)
+        shares = health.find_shares(versions=PLAN, now=float(number), policy=policy)
         version = choose_version(shares=shares, chance=dice.random())
         counts[version] += 1
         how = bad if version == turned else {}
@@ -102,7 +102,7 @@
     health, dice = RolloutHealth(), random.Random(3)
     got = collections.Counter()
     for number in range(2_000):
-        shares = health.shares(versions=PLAN, now=0.0)
+        shares = health.find_shares(versions=PLAN, now=0.0)
         version = choose_version(shares=shares, chance=dice.random())
         got[version] += 1
         slower = 6.0 if version == NEW and number > 500 else 1.0
@@ -153,9 +153,9 @@
     health, dice = RolloutHealth(), random.Random(1)
     run(health, dice, count=500)
     run(health, dice, count=2_000, fails=1.0)
-    assert health.shares(versions=PLAN, now=9.0) == {OLD: 1.0, NEW: 0.0}
+    assert health.find_shares(versions=PLAN, now=9.0) == {OLD: 1.0, NEW: 0.0}
     changed = (PLAN[0], PlannedVersion(name=NEW, weight=5.0, active=True))
-    shares = health.shares(versions=changed, now=9.0)
+    shares = health.find_shares(versions=changed, now=9.0)
     assert shares[NEW] == pytest.approx(5 / 95)
 
 
@@ -166,7 +166,7 @@
         version = (OLD, NEW)[number % 2]
         fails = 0.7 if number > 300 else 0.02
         health.note(sample=make_sample(version, dice, fails=fails), now=0.0)
-    shares = health.shares(versions=PLAN, now=0.0)
+    shares = health.find_shares(versions=PLAN, now=0.0)
     assert shares[NEW] >= 0.02
     assert sum(shares.values()) == pytest.approx(1.0)
 
@@ -174,9 +174,9 @@
 def test_withdrawn_versions_get_nothing():
     health = RolloutHealth()
     gone = tuple(PlannedVersion(name=v, weight=50.0, active=False) for v in (OLD, NEW))
-    assert health.shares(versions=gone, now=0.0) == {}
+    assert health.find_shares(versions=gone, now=0.0) == {}
     assert choose_version(shares={}, chance=0.5) is None
-    only = health.shares(versions=(PLAN[0], gone[1]), now=0.0)
+    only = health.find_shares(versions=(PLAN[0], gone[1]), now=0.0)
     assert only == {OLD: 1.0}
 
 
--- a/test/decisions/test_slowness.py
+++ b/test/decisions/test_slowness.py
@@ -2,7 +2,7 @@
 
 import random
 
-from eelgrassrack.decisions.engines import Candidate, Reading, choose_engine
+from eelgrassrack.decisions.engines import EngineCandidate, ReadingTime, choose_engine
 from eelgrassrack.decisions.slowness import Timing, find_slow
 
 
@@ -65,7 +65,7 @@
     """A prompt that takes 50 ms elsewhere would take 200 ms at the slow one."""
 
     def make(name, wait, slowness=1.0):
-        return Candidate(
+        return EngineCandidate(
             name=name,
             wait=wait,
             burden=wait,
@@ -78,7 +78,7 @@
     def choose(candidates):
         return choose_engine(
             candidates=candidates,
-            reading=Reading(whole=0.05),
+            reading=ReadingTime(whole=0.05),
             affinity="",
             spread="one",
         )
--- a/test/decisions/test_doubt.py
+++ b/test/decisions/test_suspects.py
@@ -1,12 +1,12 @@
 """Tests of where requests go that may not be repeated."""
 
-from eelgrassrack.decisions.doubt import avoid_doubtful
+from eelgrassrack.decisions.suspects import avoid_suspected
 
 
 def avoid(endpoints, *doubted, is_repeatable=False):
-    return avoid_doubtful(
+    return avoid_suspected(
         endpoints,
-        is_doubted=lambda one: one in doubted,
+        is_suspected=lambda one: one in doubted,
         is_repeatable=is_repeatable,
     )
 
--- a/test/decisions/test_urgency.py
+++ b/test/decisions/test_urgency.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eelgrassrack.decisions.urgency import LAST, SIZE_SECONDS, find_urgency
+from eelgrassrack.decisions.urgency import LEAST_URGENT, SIZE_SECONDS, find_urgency
 
 SHORT, MIDDLE, LONG = 0.005, 0.09, 0.9
 
@@ -39,7 +39,7 @@
 @given(rank=st.integers(0, 20), other=st.integers(0, 20), reading=st.floats(0, 100))
 def test_operators_ranks_go_first(rank, other, reading):
     mine = find_urgency(rank=rank, reading=reading)
-    assert 0 <= mine <= LAST
+    assert 0 <= mine <= LEAST_URGENT
     if rank < other:
         assert mine <= find_urgency(rank=other, reading=0.0)
 
--- a/test/decisions/test_watches.py
+++ b/test/decisions/test_watches.py
@@ -7,8 +7,8 @@
 
 from eelgrassrack.decisions.idle import choose_idle_seconds
 from eelgrassrack.decisions.pace import BASE_SECONDS, Pace
-from eelgrassrack.decisions.watchers import ALL_WATCH, WATCHERS, find_watch
-from eelgrassrack.decisions.watchturns import find_wait
+from eelgrassrack.decisions.watchers import ALL_WATCH, WATCHERS, find_watch_role
+from eelgrassrack.decisions.watchschedule import find_wait
 
 
 @given(
@@ -35,10 +35,10 @@
     names = [f"entry-{number}" for number in range(40)]
     for count in (ALL_WATCH, 40):
         watches = [
-            find_watch(
+            find_watch_role(
                 name=name,
                 others=[one for one in names[:count] if one != name],
-                is_store_heard=True,
+                is_store_reachable=True,
             )
             for name in names[:count]
         ]
@@ -52,7 +52,8 @@
     """The store turns away all that watch, and would serve the others."""
     names = [f"entry-{number}" for number in range(40)]
     watches = [
-        find_watch(name=name, others=names, is_store_heard=False) for name in names
+        find_watch_role(name=name, others=names, is_store_reachable=False)
+        for name in names
     ]
     assert all(one.rank is not None for one in watches)
 
--- a/test/gateway/test_guards.py
+++ b/test/gateway/test_guards.py
@@ -68,7 +68,7 @@
         test_streams.test_a_stream_goes_on_at_another_endpoint,
     ),
     "one lost answer is told to all": (
-        [(placing, "avoid_doubtful", lambda found, **_: list(found))],
+        [(placing, "avoid_suspected", lambda found, **_: list(found))],
         test_endpoints.test_one_lost_answer_is_a_warning_to_all,
     ),
     "what peers saw makes an endpoint slow": (
@@ -84,7 +84,7 @@
         test_serving.test_a_reused_address_runs_nothing,
     ),
     "a silent endpoint is given up": (
-        [(attempts, "limit_first", lambda **_: None)],
+        [(attempts, "find_first_timeout", lambda **_: None)],
         test_endpoints.test_a_request_that_is_never_answered_goes_elsewhere,
     ),
     "connections with unread bytes stay open at a stop": (
--- a/test/platform/test_formats.py
+++ b/test/platform/test_formats.py
@@ -144,7 +144,7 @@
             arrival=arrival,
             endpoint="i-1",
             organisation="first",
-            left=1.2345,
+            remaining=1.2345,
             resume_after="7",
             model="small",
             priority=None,
