--- a/bench/fuzz/billed.py
+++ b/bench/fuzz/billed.py
@@ -5,7 +5,7 @@
 from eelgrassrack.invariants import Invariants
 from eelgrassrack.store.objects import Names, ObjectStore
 from eelgrassrack.store.pages import HEAD_KIND, BillLine, LedgerHead, read_page
-from eelgrassrack.store.records import Loaded, read_record
+from eelgrassrack.store.records import VersionedRecord, read_record
 from eelgrassrack.store.totals import read_totals
 
 from .calls import Call
@@ -58,7 +58,7 @@
         head = await read_record(
             store=store, kind=HEAD_KIND, name=incarnation, record=LedgerHead
         )
-        pages = head.record.pages if isinstance(head, Loaded) else 0
+        pages = head.record.pages if isinstance(head, VersionedRecord) else 0
         for number in range(pages):
             page = await read_page(store=store, incarnation=incarnation, number=number)
             lines += page.lines
--- a/eelgrassrack/agent/settlement.py
+++ b/eelgrassrack/agent/settlement.py
@@ -17,9 +17,9 @@
 
 from ..invariants import Invariants
 from ..mailbox.messages import Bill
-from ..store.custody import Adopted, adopt
 from ..store.ledger import Flushed, Ledger
 from ..store.objects import ObjectStore
+from ..store.recovery import RecoveredBills, recover_bills
 from ..store.sealed import SealedLedgers
 from .attempts import Attempt
 
@@ -56,7 +56,7 @@
         settled: list[str] = []
         ordered = sorted(attempts, key=_list_holders)
         for holders, group in itertools.groupby(ordered, _list_holders):
-            result = await adopt(
+            result = await recover_bills(
                 store=self._store,
                 ledger=ledger,
                 into=incarnation,
@@ -64,7 +64,7 @@
                 bills=[attempt.ended.bill for attempt in group],
                 sealed=sealed,
             )
-            if isinstance(result, Adopted):
+            if isinstance(result, RecoveredBills):
                 settled.extend(result.billed)
             else:
                 log.error("settlement: {}", result.reason)
--- a/eelgrassrack/entry/billing.py
+++ b/eelgrassrack/entry/billing.py
@@ -12,10 +12,10 @@
 
 from ..invariants import Invariants
 from ..mailbox.messages import Bill, Custody, Settle
-from ..store.custody import Adopted, adopt
-from ..store.ledger import Adding, Ledger
+from ..store.ledger import AddResult, Ledger
 from ..store.ledgers import Ledgers
 from ..store.objects import ObjectStore, Unavailable
+from ..store.recovery import RecoveredBills, recover_bills
 from ..store.sealed import SealedLedgers
 from .meter import Meter
 
@@ -93,11 +93,11 @@
     def take(self, *, bill: Bill, address: str) -> None:
         """Take a bill from the agent at `address`."""
         match self.ledgers.add(bill=bill, into=bill.ledger):
-            case Adding.ADDED | Adding.WAITING:
+            case AddResult.ADDED | AddResult.WAITING:
                 self._agents[bill.attempt] = address
-            case Adding.FLUSHED:
+            case AddResult.FLUSHED:
                 self._post(address, Settle(attempts=(bill.attempt,)))
-            case Adding.FULL | Adding.SEALED | Adding.OTHER_LEDGER as adding:
+            case AddResult.FULL | AddResult.SEALED | AddResult.OTHER_LEDGER as adding:
                 log.debug("billing: {} left to its agent: {}", bill.attempt, adding)
 
     def take_custody(self, *, custody: Custody, address: str) -> None:
@@ -123,7 +123,7 @@
             # The agent heard of another incarnation's ledger; it will name
             # the current one once it has heard this entry's heartbeat.
             return
-        result = await adopt(
+        result = await recover_bills(
             store=self._store,
             ledger=ledger,
             sealed=self._sealed,
@@ -134,7 +134,7 @@
         match result:
             case Unavailable(reason=reason):
                 log.info("billing: recovery waits: {}", reason)
-            case Adopted(billed=billed, added=added):
+            case RecoveredBills(billed=billed, added=added):
                 self._agents.update(dict.fromkeys(added, address))
                 if billed:
                     self._post(address, Settle(attempts=billed))
--- a/eelgrassrack/entry/configuration.py
+++ b/eelgrassrack/entry/configuration.py
@@ -20,7 +20,7 @@
 from ..mailbox.messages import DocumentCopy
 from ..store.head import DocumentHead, HeadState, NoDocument
 from ..store.objects import Unavailable, Unchanged
-from ..store.revisions import Revisions
+from ..store.revisions import RevisionGuard
 
 log = logbook.Logger("configuration")
 
@@ -86,7 +86,7 @@
         self._announce = announce
         self._ask_peers = ask_peers
         self._head = head
-        self._revisions = Revisions(invariants=invariants)
+        self._revisions = RevisionGuard(invariants=invariants)
         self._ask_peer = ask_peer
         self._newer: Newer | None = None
         self._question = 0
--- a/eelgrassrack/entry/keeper.py
+++ b/eelgrassrack/entry/keeper.py
@@ -6,7 +6,13 @@
 import msgspec
 
 from ..store.claim import RETENTION_SECONDS, Claim, ClaimState
-from ..store.claims import Claims, ClaimUnavailable, Finished, Held, Taken
+from ..store.claims import (
+    ClaimAcquired,
+    Claims,
+    ClaimUnavailable,
+    ExistingClaim,
+    OutcomeRecorded,
+)
 from .jobs import Job, Placed
 from .refusals import CallerError, refuse_unavailable
 
@@ -34,11 +40,11 @@
         self._claims = claims
         self._digest = hashlib.sha256(job.body).hexdigest()
         self._entry = entry
-        self._free: Held | None = None
+        self._free: ExistingClaim | None = None
         self._job = job
         self._version = 0
         self.claim: Claim | None = None
-        self.held: Held | None = None
+        self.held: ExistingClaim | None = None
         self.name = name
 
     @property
@@ -46,7 +52,7 @@
         """Tell whether the claim that was found is of an equal request."""
         return self.held.claim.body_digest == self._digest
 
-    def free(self, held: Held) -> None:
+    def free(self, held: ExistingClaim) -> None:
         """Let the next attempt take over a claim whose attempt can't start."""
         self._free = held
         self.held = None
@@ -56,12 +62,12 @@
         """Name the attempt in the claim before it is sent."""
         claim = self._build_claim(placed)
         match await self._write(claim):
-            case Taken(version=version):
+            case ClaimAcquired(version=version):
                 self.claim = claim
                 self._version = version
                 self._free = None
                 return None
-            case Held() as held:
+            case ExistingClaim() as held:
                 self.held = held
                 return refuse_unavailable(reason="claimed")
             case ClaimUnavailable(reason=reason, retry_after=retry_after):
@@ -82,7 +88,7 @@
         status: int = 0,
         fields: tuple[tuple[str, str], ...] = (),
         answer: bytes = b"",
-    ) -> Finished | Held | ClaimUnavailable:
+    ) -> OutcomeRecorded | ExistingClaim | ClaimUnavailable:
         """Record how the attempt ended."""
         outcome = msgspec.structs.replace(
             self.claim, state=state, status=status, headers=fields, answer=answer
@@ -91,12 +97,14 @@
             name=self.name, version=self._version, claim=outcome
         )
 
-    def adopt(self, held: Held) -> None:
+    def adopt(self, held: ExistingClaim) -> None:
         """Record outcomes for an attempt that another entry sent."""
         self.claim = held.claim
         self._version = held.version
 
-    async def _write(self, claim: Claim) -> Taken | Held | ClaimUnavailable:
+    async def _write(
+        self, claim: Claim
+    ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
         if self._free is not None:
             return await self._claims.take_over(
                 name=self.name,
@@ -105,13 +113,13 @@
                 claim=claim,
             )
         if self.claim is not None:
-            return await self._claims.move(
+            return await self._claims.reassign(
                 name=self.name,
                 version=self._version,
                 old_claim=self.claim,
                 claim=claim,
             )
-        return await self._claims.take(name=self.name, claim=claim)
+        return await self._claims.acquire(name=self.name, claim=claim)
 
     def _build_claim(self, placed: Placed) -> Claim:
         return Claim(
--- a/eelgrassrack/entry/once.py
+++ b/eelgrassrack/entry/once.py
@@ -12,8 +12,8 @@
 import logbook
 import msgspec
 
-from ..store.claim import ClaimState, claim_name
-from ..store.claims import Claims, ClaimUnavailable, Held
+from ..store.claim import ClaimState, make_claim_name
+from ..store.claims import Claims, ClaimUnavailable, ExistingClaim
 from .channels import Broken, Channels, Lost, NeverRan, Outcome, Whole
 from .directory import Directory
 from .dispatcher import Dispatcher
@@ -48,7 +48,7 @@
 class Free(msgspec.Struct, kw_only=True, frozen=True):
     """The attempt of a claim can't start any more."""
 
-    held: Held
+    held: ExistingClaim
 
 
 class Once:
@@ -86,7 +86,9 @@
 
     async def run(self, *, job: Job, operation: str, key: str) -> Whole | CallerError:
         """Run the job unless its key has been run, and return the outcome."""
-        name = claim_name(organisation=job.organisation, operation=operation, key=key)
+        name = make_claim_name(
+            organisation=job.organisation, operation=operation, key=key
+        )
         keeper = Keeper(claims=self._claims, name=name, entry=self._entry, job=job)
         for _ in range(MOST_ROUNDS):
             dispatched = await self._dispatcher.run(job=job, reserve=keeper.reserve)
@@ -153,7 +155,7 @@
                 await self._record(keeper, outcome)
         return _judge(outcome)
 
-    async def _follow(self, job: Job, held: Held) -> Outcome:
+    async def _follow(self, job: Job, held: ExistingClaim) -> Outcome:
         """Learn from the agent what became of another entry's attempt."""
         claim = held.claim
         own = self._channels.find(claim.attempt)
@@ -220,7 +222,7 @@
     return judge_outcome(Dispatched(outcome=outcome))
 
 
-def _read_answer(held: Held) -> Whole:
+def _read_answer(held: ExistingClaim) -> Whole:
     claim = held.claim
     return Whole(
         attempt=claim.attempt,
--- a/eelgrassrack/entry/serving.py
+++ b/eelgrassrack/entry/serving.py
@@ -16,7 +16,7 @@
 from ..mailbox.messages import AnyMessage
 from ..settings import EntrySettings
 from ..store.claims import Claims
-from ..store.folding import LedgerArchive
+from ..store.compaction import LedgerCompactor
 from ..store.leases import Leases
 from ..store.objects import ObjectStore
 from ..store.pins import Pins
@@ -183,7 +183,7 @@
             make_id=lambda: secrets.token_hex(LEASE_ID_BYTES),
         )
         return Sweeper(
-            kinds=(claims, pins, LedgerArchive(store=store)),
+            kinds=(claims, pins, LedgerCompactor(store=store)),
             leases=leases,
             holder=holder,
             clock=self._clock,
--- a/eelgrassrack/gateway/follower.py
+++ b/eelgrassrack/gateway/follower.py
@@ -48,7 +48,7 @@
     """The calls that a follower makes."""
 
     async def list(
-        self, *, kind: str, timeout: float, is_stale_fine: bool = False
+        self, *, kind: str, timeout: float, allow_stale: bool = False
     ) -> Listed | Away:
         """Return all objects of a kind."""
 
--- a/eelgrassrack/gateway/peerlist.py
+++ b/eelgrassrack/gateway/peerlist.py
@@ -29,7 +29,7 @@
         """Write where a gateway takes news; tell whether that is done."""
 
     async def list(
-        self, *, kind: str, timeout: float, is_stale_fine: bool = False
+        self, *, kind: str, timeout: float, allow_stale: bool = False
     ) -> Listed | Away:
         """Return all objects of a kind."""
 
@@ -66,16 +66,16 @@
             is_written = await self._store.write_peer(
                 name=settings.name, address=address, timeout=CALL_SECONDS
             )
-            await self._list(is_stale_fine=True)
+            await self._list(allow_stale=True)
             await asyncio.sleep(START_SECONDS if is_written else 1.0)
-        await self._list(is_stale_fine=False)
+        await self._list(allow_stale=False)
         while True:
             await asyncio.sleep(PEERS_SECONDS)
-            await self._list(is_stale_fine=True)
+            await self._list(allow_stale=True)
 
-    async def _list(self, *, is_stale_fine: bool) -> None:
+    async def _list(self, *, allow_stale: bool) -> None:
         listed = await self._store.list(
-            kind=self._kind, timeout=CALL_SECONDS, is_stale_fine=is_stale_fine
+            kind=self._kind, timeout=CALL_SECONDS, allow_stale=allow_stale
         )
         if not isinstance(listed, Listed):
             log.debug("gateway: peers couldn't be listed: {}", listed)
--- a/eelgrassrack/platform/store.py
+++ b/eelgrassrack/platform/store.py
@@ -98,7 +98,7 @@
         self._http.close()
 
     async def list(
-        self, *, kind: str, timeout: float, is_stale_fine: bool = False
+        self, *, kind: str, timeout: float, allow_stale: bool = False
     ) -> Listed | Away:
         """Return all objects of a kind.
 
@@ -109,7 +109,7 @@
         after = ""
         while True:
             query = {"after": after} if after else {}
-            if is_stale_fine:
+            if allow_stale:
                 query[STALE_QUERY] = "1"
             outcome = await self._http.fetch(
                 path=_make_path(kind, query=query),
--- a/eelgrassrack/store/audit.py
+++ b/eelgrassrack/store/audit.py
@@ -14,7 +14,14 @@
 import msgspec
 
 from .objects import Absent, ObjectStore, Unavailable
-from .records import NEW, Loaded, Overtaken, Put, put_record, read_record
+from .records import (
+    NEW,
+    RecordConflict,
+    RecordWritten,
+    VersionedRecord,
+    put_record,
+    read_record,
+)
 
 KIND = "audit"
 
@@ -65,9 +72,9 @@
     match result:
         case Unavailable():
             return result
-        case Put():
+        case RecordWritten():
             return None
-        case Overtaken():
+        case RecordConflict():
             return Unavailable(reason=f"audit entry {entry.revision} is another's")
 
 
@@ -78,7 +85,7 @@
     found = await read_record(
         store=store, kind=KIND, name=entry_name(revision), record=AuditEntry
     )
-    return found.record if isinstance(found, Loaded) else found
+    return found.record if isinstance(found, VersionedRecord) else found
 
 
 async def read_entries(
--- a/eelgrassrack/store/budget.py
+++ b/eelgrassrack/store/budget.py
@@ -5,7 +5,7 @@
 daemon in a loop takes everybody's share; without jittered backoff all
 daemons come back in the same instant after an outage and bring the
 platform down again.  Nothing here reads a clock or rolls dice: the
-caller passes `now` in seconds and `chance` from 0 to 1.
+caller passes `now` in seconds and `jitter` from 0 to 1.
 """
 
 GROWTH = 2.0
@@ -53,22 +53,22 @@
         self._most = most
         self._ceiling = base
 
-    def next_delay(self, *, chance: float) -> float:
-        """Return the delay before the next try, evenly spread by `chance`.
+    def next_delay(self, *, jitter: float) -> float:
+        """Return the delay before the next try, evenly spread by `jitter`.
 
         The spread runs from half a ceiling to a whole one: daemons that
         failed together spread out, and none tries again at once.
         """
         ceiling = self._ceiling
         self._ceiling = min(self._most, ceiling * GROWTH)
-        return ceiling * (1.0 + chance) / 2.0
+        return ceiling * (1.0 + jitter) / 2.0
 
     def reset(self) -> None:
         """Start from the base again after a success."""
         self._ceiling = self._base
 
 
-class Gate:
+class CircuitBreaker:
     """Whether to call at all while the platform keeps failing.
 
     A few failures in a row close the gate for a jittered pause; then one
@@ -111,7 +111,7 @@
         self._probing_until = 0.0
         self._backoff.reset()
 
-    def fail(self, *, now: float, chance: float, retry_after: float = 0.0) -> None:
+    def fail(self, *, now: float, jitter: float, retry_after: float = 0.0) -> None:
         """Learn that a call wasn't answered; perhaps shut the gate.
 
         `retry_after` is what the platform itself asked for.
@@ -124,6 +124,6 @@
         self._probing_until = 0.0
         if not self.is_open or retry_after:
             self._failures = max(self._failures, FAILURES_BEFORE_PAUSE)
-            delay = self._backoff.next_delay(chance=chance)
-            spread = retry_after * (1.0 + chance)
+            delay = self._backoff.next_delay(jitter=jitter)
+            spread = retry_after * (1.0 + jitter)
             self._shut_until = now + max(delay, spread)
--- a/eelgrassrack/store/claim.py
+++ b/eelgrassrack/store/claim.py
@@ -52,7 +52,7 @@
     expires_at: float
 
 
-def claim_name(*, organisation: str, operation: str, key: str) -> str:
+def make_claim_name(*, organisation: str, operation: str, key: str) -> str:
     """Return the name of the claim for an organisation's idempotency key.
 
     The parts are encoded with their lengths, so that no two triples give
--- a/eelgrassrack/store/claims.py
+++ b/eelgrassrack/store/claims.py
@@ -25,7 +25,14 @@
 from ..invariants import Invariants, Promise
 from .claim import RAN, Claim, ClaimState, trim_answer
 from .objects import Absent, ObjectStore, Unavailable, Written
-from .records import NEW, Loaded, Overtaken, Put, put_record, read_record
+from .records import (
+    NEW,
+    RecordConflict,
+    RecordWritten,
+    VersionedRecord,
+    put_record,
+    read_record,
+)
 from .sweeping import Cursor, Swept
 
 log = logbook.Logger("claims")
@@ -41,20 +48,20 @@
 FINISH_ROUNDS = 4
 
 
-class Taken(msgspec.Struct, kw_only=True, frozen=True):
+class ClaimAcquired(msgspec.Struct, kw_only=True, frozen=True):
     """The claim names the caller's attempt, which alone may be dispatched."""
 
     version: int
 
 
-class Held(msgspec.Struct, kw_only=True, frozen=True):
+class ExistingClaim(msgspec.Struct, kw_only=True, frozen=True):
     """Another attempt has the claim."""
 
     claim: Claim
     version: int
 
 
-class Finished(msgspec.Struct, kw_only=True, frozen=True):
+class OutcomeRecorded(msgspec.Struct, kw_only=True, frozen=True):
     """The outcome is on record."""
 
     version: int
@@ -90,20 +97,22 @@
         self._invariants = invariants
         self._cursor = Cursor(store=store, kind=KIND)
 
-    async def read(self, *, name: str) -> Held | Absent | ClaimUnavailable:
+    async def read(self, *, name: str) -> ExistingClaim | Absent | ClaimUnavailable:
         """Return the claim on record."""
         match await read_record(store=self._store, kind=KIND, name=name, record=Claim):
-            case Loaded(record=claim, version=version):
-                return Held(claim=claim, version=version)
+            case VersionedRecord(record=claim, version=version):
+                return ExistingClaim(claim=claim, version=version)
             case Absent() as absent:
                 return absent
             case Unavailable(reason=reason, retry_after=retry_after):
                 return ClaimUnavailable(reason=reason, retry_after=retry_after)
 
-    async def take(self, *, name: str, claim: Claim) -> Taken | Held | ClaimUnavailable:
+    async def acquire(
+        self, *, name: str, claim: Claim
+    ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
         """Claim a request before its first dispatch."""
         taken = await self._put(name, claim, NEW)
-        if not isinstance(taken, Held):
+        if not isinstance(taken, ExistingClaim):
             return taken
         if taken.claim.state is not ClaimState.RELEASED:
             return taken
@@ -115,14 +124,14 @@
 
     async def take_over(
         self, *, name: str, held_version: int, old_claim: Claim, claim: Claim
-    ) -> Taken | Held | ClaimUnavailable:
+    ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
         """Put an attempt in the place of one that can't start any more.
 
         Call this only after the old attempt's agent vowed never to start
         it, or if the old attempt was never sent and never will be.
         """
         if old_claim.state in RAN:
-            return Held(claim=old_claim, version=held_version)
+            return ExistingClaim(claim=old_claim, version=held_version)
         if self._clock() >= old_claim.expires_at:
             return ClaimUnavailable(reason="the claim has expired")
         self._invariants.check(
@@ -131,13 +140,13 @@
             f"attempt {claim.attempt} would take over from itself",
         )
         taken = await self._put(name, claim, held_version)
-        if isinstance(taken, Taken):
+        if isinstance(taken, ClaimAcquired):
             log.info("claims: taken over: {}: {}", name, claim.attempt)
         return taken
 
-    async def move(
+    async def reassign(
         self, *, name: str, version: int, old_claim: Claim, claim: Claim
-    ) -> Taken | Held | ClaimUnavailable:
+    ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
         """Name a new attempt of the same entry after `NotStarted`.
 
         It has to be on record before it is sent.  Otherwise an entry that
@@ -150,7 +159,7 @@
 
     async def release(
         self, *, name: str, version: int, claim: Claim
-    ) -> Finished | Held | ClaimUnavailable:
+    ) -> OutcomeRecorded | ExistingClaim | ClaimUnavailable:
         """Record that the attempt never started and never will.
 
         The object stays: were it removed, the next claim could get the
@@ -162,10 +171,10 @@
 
     async def finish(
         self, *, name: str, version: int, claim: Claim
-    ) -> Finished | Held | ClaimUnavailable:
+    ) -> OutcomeRecorded | ExistingClaim | ClaimUnavailable:
         """Record the outcome of the claim's attempt.
 
-        `Held` is the better outcome that another entry put on record
+        `ExistingClaim` is the better outcome that another entry put on record
         meanwhile.  After `ClaimUnavailable` call it again with the same
         arguments; until it succeeds, a resend that asks the agent learns
         that the attempt has started and isn't run.
@@ -173,7 +182,7 @@
         claim = trim_answer(claim)
         for _ in range(FINISH_ROUNDS):
             result = await self._put(name, claim, version)
-            if not isinstance(result, Held):
+            if not isinstance(result, ExistingClaim):
                 return _as_finished(result)
             if not self._may_improve(on_record=result.claim, outcome=claim):
                 return result
@@ -211,7 +220,7 @@
     async def _remove_expired(self, name: str) -> bool:
         """Remove a claim if it expired long ago."""
         held = await self.read(name=name)
-        if not isinstance(held, Held):
+        if not isinstance(held, ExistingClaim):
             return False
         if self._clock() < held.claim.expires_at + SWEEP_MARGIN:
             return False
@@ -220,7 +229,7 @@
 
     async def _put(
         self, name: str, claim: Claim, version: int
-    ) -> Taken | Held | ClaimUnavailable:
+    ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
         """Write a claim and tell whether it stands."""
 
         def is_own(found: Claim) -> bool:
@@ -235,11 +244,11 @@
             is_own=is_own,
         )
         match result:
-            case Put(version=written):
-                return Taken(version=written)
-            case Overtaken(found=Loaded(record=found, version=at)):
-                return Held(claim=found, version=at)
-            case Overtaken():
+            case RecordWritten(version=written):
+                return ClaimAcquired(version=written)
+            case RecordConflict(found=VersionedRecord(record=found, version=at)):
+                return ExistingClaim(claim=found, version=at)
+            case RecordConflict():
                 return ClaimUnavailable(reason="the claim was removed")
             case Unavailable():
                 return ClaimUnavailable(
@@ -250,9 +259,9 @@
 
 
 def _as_finished(
-    result: Taken | Held | ClaimUnavailable,
-) -> Finished | Held | ClaimUnavailable:
+    result: ClaimAcquired | ExistingClaim | ClaimUnavailable,
+) -> OutcomeRecorded | ExistingClaim | ClaimUnavailable:
     """Return the result of a write as that of an outcome's record."""
-    if isinstance(result, Taken):
-        return Finished(version=result.version)
+    if isinstance(result, ClaimAcquired):
+        return OutcomeRecorded(version=result.version)
     return result
--- a/eelgrassrack/store/client.py
+++ b/eelgrassrack/store/client.py
@@ -13,7 +13,7 @@
 import logbook
 import msgspec
 
-from .budget import Backoff, CallBudget, Gate
+from .budget import Backoff, CallBudget, CircuitBreaker
 from .http import Answer, HttpCaller, NoAnswer
 from .objects import (
     MAX_BODY_BYTES,
@@ -54,7 +54,7 @@
     """The `ObjectStore` protocol over the platform's HTTP.
 
     `url` is the base address without `/objects`, `caller` names the
-    daemon to the platform, `chance` returns numbers from 0 to 1 for the
+    daemon to the platform, `jitter` returns numbers from 0 to 1 for the
     jitter, `timeout` is how long a call may take in seconds.
     """
 
@@ -74,9 +74,9 @@
         url: str,
         caller: str = "",
         budget: CallBudget | None = None,
-        gate: Gate | None = None,
+        gate: CircuitBreaker | None = None,
         clock: Callable[[], float] = time.monotonic,
-        chance: Callable[[], float] = random.random,
+        jitter: Callable[[], float] = random.random,
         timeout: float = CALL_SECONDS,
     ) -> None:
         self._http = HttpCaller(url=url, max_clients=MAX_CLIENTS)
@@ -85,9 +85,9 @@
             per_second=DEFAULT_PER_SECOND, burst=DEFAULT_BURST
         )
         backoff = Backoff(base=BACKOFF_BASE, most=BACKOFF_MOST)
-        self._gate = gate or Gate(backoff=backoff)
+        self._gate = gate or CircuitBreaker(backoff=backoff)
         self._clock = clock
-        self._chance = chance
+        self._chance = jitter
         self._timeout = timeout
 
     def close(self) -> None:
@@ -229,5 +229,5 @@
 
     def _fail(self, *, retry_after: float = 0.0) -> None:
         self._gate.fail(
-            now=self._clock(), chance=self._chance(), retry_after=retry_after
+            now=self._clock(), jitter=self._chance(), retry_after=retry_after
         )
--- a/eelgrassrack/store/folding.py
+++ b/eelgrassrack/store/compaction.py
@@ -19,10 +19,10 @@
 import logbook
 import msgspec
 
-from .custody import seal_ledger
 from .objects import Absent, ObjectStore, Unavailable
 from .pages import HEAD_KIND, PAGE_KIND, LedgerHead, Page, Total, page_name
-from .records import Loaded, Put, put_record, read_record
+from .records import RecordWritten, VersionedRecord, put_record, read_record
+from .recovery import seal_ledger
 from .sweeping import Cursor, Swept
 from .totals import Lines, read_lines
 
@@ -36,7 +36,7 @@
 REST_SECONDS = 0.1
 
 
-class LedgerArchive:
+class LedgerCompactor:
     """Seal and fold old ledgers, at most one in a sweep.
 
     `clock` is the wall clock; `rest` is awaited between calls for pages,
@@ -80,7 +80,7 @@
                 return False
             case Unavailable():
                 return found
-            case Loaded(record=head, version=version):
+            case VersionedRecord(record=head, version=version):
                 age = self._clock() - head.changed_at
         if head.folded:
             return bool(head.pages) and await self._clear(incarnation, head, version)
@@ -113,7 +113,7 @@
         )
         folded = msgspec.structs.replace(head, folded=True, totals=totals)
         written = await self._replace(incarnation, folded, version)
-        if not isinstance(written, Put):
+        if not isinstance(written, RecordWritten):
             return written
         log.info("folding: folded: {}: {} pages", incarnation, head.pages)
         return await self._clear(incarnation, folded, written.version)
@@ -135,7 +135,7 @@
             match found:
                 case Unavailable():
                     return found
-                case Loaded(version=at):
+                case VersionedRecord(version=at):
                     result = await self._store.remove(
                         kind=PAGE_KIND, name=name, version=at
                     )
@@ -143,11 +143,11 @@
                         return result
         cleared = msgspec.structs.replace(head, pages=0)
         written = await self._replace(incarnation, cleared, version)
-        return True if isinstance(written, Put) else written
+        return True if isinstance(written, RecordWritten) else written
 
     async def _replace(
         self, incarnation: str, head: LedgerHead, version: int
-    ) -> Put | Unavailable | bool:
+    ) -> RecordWritten | Unavailable | bool:
         """Write a head; false when somebody else treated the ledger."""
         result = await put_record(
             store=self._store,
@@ -157,7 +157,7 @@
             version=version,
             is_own=head.__eq__,
         )
-        return result if isinstance(result, Put | Unavailable) else False
+        return result if isinstance(result, RecordWritten | Unavailable) else False
 
 
 async def _rest() -> None:
--- a/eelgrassrack/store/head.py
+++ b/eelgrassrack/store/head.py
@@ -37,7 +37,7 @@
 from .headreader import Base, HeadReader, HeadState, NoDocument
 from .headrecord import KIND, NAME, HeadRecord, make_record
 from .objects import Absent, ObjectStore, Unavailable, Unchanged
-from .records import NEW, Overtaken, Put, put_record
+from .records import NEW, RecordConflict, RecordWritten, put_record
 from .texts import SectionTexts
 
 log = logbook.Logger("head")
@@ -229,11 +229,11 @@
             is_own=record.__eq__,
         )
         match result:
-            case Put():
+            case RecordWritten():
                 return await self._conclude(record)
             case Unavailable():
                 return result
-            case Overtaken():
+            case RecordConflict():
                 return await self._find_edit(record)
 
     async def _conclude(self, record: HeadRecord) -> Applied:
--- a/eelgrassrack/store/headreader.py
+++ b/eelgrassrack/store/headreader.py
@@ -13,7 +13,7 @@
 from .audit import AuditEntry, copy_entry, read_entries
 from .headrecord import KIND, NAME, HeadRecord, undo_change
 from .objects import Absent, Found, ObjectStore, Unavailable, Unchanged
-from .records import NEW, Loaded, decode_record, read_record
+from .records import NEW, VersionedRecord, decode_record, read_record
 from .texts import SectionTexts
 
 log = logbook.Logger("head")
@@ -69,7 +69,7 @@
     async def read_revision(self, *, revision: int) -> HeadState | Absent | Unavailable:
         """Return an earlier revision, going back change by change."""
         found = await self._read_record()
-        if not isinstance(found, Loaded):
+        if not isinstance(found, VersionedRecord):
             return found
         record = found.record
         if not 0 < revision <= record.revision:
@@ -88,7 +88,7 @@
                 return ()
             case Unavailable() as unavailable:
                 return unavailable
-            case Loaded(record=record):
+            case VersionedRecord(record=record):
                 pass
         oldest = max(1, record.revision - limit + 1)
         trail = await self._read_trail(record, down_to=oldest)
@@ -101,7 +101,7 @@
                 return Base(record=HeadRecord(), text="", teams=None, version=NEW)
             case Unavailable() as unavailable:
                 return unavailable
-            case Loaded(record=record, version=version):
+            case VersionedRecord(record=record, version=version):
                 state = await self._join(record, version)
         if isinstance(state, Unavailable):
             return state
@@ -112,7 +112,7 @@
             version=version,
         )
 
-    async def _read_record(self) -> Loaded[HeadRecord] | Absent | Unavailable:
+    async def _read_record(self) -> VersionedRecord[HeadRecord] | Absent | Unavailable:
         return await read_record(
             store=self._store, kind=KIND, name=NAME, record=HeadRecord
         )
--- a/eelgrassrack/store/leases.py
+++ b/eelgrassrack/store/leases.py
@@ -20,7 +20,14 @@
 import msgspec
 
 from .objects import Absent, ObjectStore, Unavailable
-from .records import NEW, Loaded, Overtaken, Put, put_record, read_record
+from .records import (
+    NEW,
+    RecordConflict,
+    RecordWritten,
+    VersionedRecord,
+    put_record,
+    read_record,
+)
 
 log = logbook.Logger("leases")
 
@@ -107,7 +114,7 @@
                 return await self._write(name, holder, duration, NEW)
             case Unavailable() as unavailable:
                 return unavailable
-            case Loaded(record=lease, version=version):
+            case VersionedRecord(record=lease, version=version):
                 wait = self._wait_for(name, lease, version)
         if wait > 0:
             return LeaseTaken(holder=lease.holder, wait=wait)
@@ -126,13 +133,13 @@
         match found:
             case Unavailable():
                 return found
-            case Loaded(record=record, version=version) if (
+            case VersionedRecord(record=record, version=version) if (
                 record.holder == lease.holder
             ):
                 return await self._write(
                     lease.name, lease.holder, lease.duration, version
                 )
-            case Loaded(record=record):
+            case VersionedRecord(record=record):
                 return LeaseTaken(holder=record.holder, wait=record.duration)
         return LeaseTaken(holder="", wait=0.0)
 
@@ -178,7 +185,7 @@
             is_own=lease.__eq__,
         )
         match result:
-            case Put(version=fence):
+            case RecordWritten(version=fence):
                 self._sights.pop(name, None)
                 log.info("leases: held: {} by {}: {}", name, holder, fence)
                 return HeldLease(
@@ -188,7 +195,7 @@
                     fence=fence,
                     until=before + duration * (1 - MARGIN),
                 )
-            case Overtaken(found=Loaded(record=other)):
+            case RecordConflict(found=VersionedRecord(record=other)):
                 return LeaseTaken(holder=other.holder, wait=other.duration)
             case Unavailable():
                 return result
--- a/eelgrassrack/store/ledger.py
+++ b/eelgrassrack/store/ledger.py
@@ -43,7 +43,7 @@
     make_line,
     page_name,
 )
-from .records import NEW, Loaded, Overtaken, Put, put_record
+from .records import NEW, RecordConflict, RecordWritten, VersionedRecord, put_record
 
 log = logbook.Logger("ledger")
 
@@ -64,7 +64,7 @@
 LONGEST_LEDGER_PAGES = 128
 
 
-class Adding(enum.Enum):
+class AddResult(enum.Enum):
     """What became of a bill that was to be added.
 
     `FLUSHED` may be settled at once.  After `FULL`, `SEALED` and
@@ -168,20 +168,20 @@
         """Return how many bills aren't flushed yet."""
         return len(self._backlog)
 
-    def add(self, *, bill: Bill, into: str) -> Adding:
+    def add(self, *, bill: Bill, into: str) -> AddResult:
         """Take a bill whose agent believes it to be held by ledger `into`."""
         if into != self.incarnation:
-            return Adding.OTHER_LEDGER
+            return AddResult.OTHER_LEDGER
         if bill.attempt in self._remembered:
-            return Adding.FLUSHED
+            return AddResult.FLUSHED
         if self._sealed:
-            return Adding.SEALED
+            return AddResult.SEALED
         if bill.attempt in self._backlog:
-            return Adding.WAITING
+            return AddResult.WAITING
         if len(self._backlog) >= BACKLOG_BILLS + UNDER_WAY_BILLS:
-            return Adding.FULL
+            return AddResult.FULL
         self._backlog[bill.attempt] = make_line(bill=bill, money=self._price(bill))
-        return Adding.ADDED
+        return AddResult.ADDED
 
     async def flush(self) -> Flushed | LedgerSealed | Unavailable:
         """Write waiting bills as one page and count it in the head.
@@ -214,7 +214,7 @@
         match result:
             case Unavailable():
                 return result
-            case Overtaken():
+            case RecordConflict():
                 return self._meet_double(f"page {number} has other lines")
         return await self._count_page(page)
 
@@ -234,14 +234,14 @@
             is_own=head.__eq__,
         )
         match result:
-            case Put(version=version):
+            case RecordWritten(version=version):
                 self._version = version
                 return self._settle(head, page)
             case Unavailable():
                 return result
-            case Overtaken(found=Loaded(record=found)) if found.sealed:
+            case RecordConflict(found=VersionedRecord(record=found)) if found.sealed:
                 return self._meet_seal(head, found, page)
-            case Overtaken(found=Absent()):
+            case RecordConflict(found=Absent()):
                 return self._seal()
         return self._meet_double("the head was changed by somebody else")
 
--- a/eelgrassrack/store/ledgers.py
+++ b/eelgrassrack/store/ledgers.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..mailbox.messages import Bill
-from .ledger import Adding, Flushed, Ledger, LedgerSealed
+from .ledger import AddResult, Flushed, Ledger, LedgerSealed
 from .objects import Unavailable
 
 # An older ledger is kept for the work begun under it.  This is longer than
@@ -72,11 +72,11 @@
         kept = self._old.get(incarnation)
         return kept[0] if kept else None
 
-    def add(self, *, bill: Bill, into: str) -> Adding:
+    def add(self, *, bill: Bill, into: str) -> AddResult:
         """Add a bill to the ledger that its work was given."""
         ledger = self.find(into)
         if ledger is None:
-            return Adding.OTHER_LEDGER
+            return AddResult.OTHER_LEDGER
         return ledger.add(bill=bill, into=into)
 
     async def flush(self, *, now: float) -> FlushedAll:
--- a/eelgrassrack/store/pages.py
+++ b/eelgrassrack/store/pages.py
@@ -7,7 +7,7 @@
 
 from ..mailbox.messages import Bill
 from .objects import ObjectStore, Unavailable
-from .records import Loaded, read_record
+from .records import VersionedRecord, read_record
 
 HEAD_KIND = "ledgers"
 PAGE_KIND = "ledger-pages"
@@ -119,7 +119,7 @@
     """Return a page that a head counts; it was written before the head."""
     name = page_name(incarnation=incarnation, number=number)
     match await read_record(store=store, kind=PAGE_KIND, name=name, record=Page):
-        case Loaded(record=page):
+        case VersionedRecord(record=page):
             return page
         case Unavailable() as unavailable:
             return unavailable
--- a/eelgrassrack/store/pins.py
+++ b/eelgrassrack/store/pins.py
@@ -20,7 +20,14 @@
 
 from ..invariants import Invariants, Promise
 from .objects import ObjectStore, Unavailable, Written
-from .records import NEW, Loaded, Overtaken, Put, put_record, read_record
+from .records import (
+    NEW,
+    RecordConflict,
+    RecordWritten,
+    VersionedRecord,
+    put_record,
+    read_record,
+)
 from .sweeping import Cursor, Swept
 from .tokens import BadToken as BadToken
 from .tokens import TokenRead as TokenRead
@@ -115,9 +122,9 @@
             is_own=pin.__eq__,
         )
         match result:
-            case Put():
+            case RecordWritten():
                 return pin
-            case Overtaken(found=Loaded(record=found)):
+            case RecordConflict(found=VersionedRecord(record=found)):
                 return found
             case Unavailable(reason=reason, retry_after=retry_after):
                 return PinUnavailable(reason=reason, retry_after=retry_after)
@@ -141,7 +148,7 @@
         found = await read_record(store=self._store, kind=KIND, name=name, record=Pin)
         if isinstance(found, Unavailable):
             return
-        if isinstance(found, Loaded) and found.record.version != pin.version:
+        if isinstance(found, VersionedRecord) and found.record.version != pin.version:
             detail = f"pin {name} moved from {pin.version} to {found.record.version}"
             self._invariants.check(Promise.SESSION, False, detail)
             return
@@ -150,10 +157,10 @@
             kind=KIND,
             name=name,
             record=fresh,
-            version=found.version if isinstance(found, Loaded) else NEW,
+            version=found.version if isinstance(found, VersionedRecord) else NEW,
             is_own=fresh.__eq__,
         )
-        if isinstance(result, Put) and name in self._cache:
+        if isinstance(result, RecordWritten) and name in self._cache:
             self._cache[name] = fresh
 
     async def sweep(self, *, limit: int) -> Swept | Unavailable:
@@ -174,7 +181,7 @@
         the meantime keeps the pin.
         """
         found = await read_record(store=self._store, kind=KIND, name=name, record=Pin)
-        if not isinstance(found, Loaded):
+        if not isinstance(found, VersionedRecord):
             return False
         if self._clock() - found.record.used_at < UNUSED_SECONDS:
             return False
--- a/eelgrassrack/store/platform.py
+++ b/eelgrassrack/store/platform.py
@@ -29,11 +29,11 @@
     __slots__ = ("_backoff", "_chance", "_http", "_pause")
 
     def __init__(
-        self, *, url: str, chance: Callable[[], float] = random.random
+        self, *, url: str, jitter: Callable[[], float] = random.random
     ) -> None:
         self._http = HttpCaller(url=url, max_clients=MAX_INSTANCE_CALLS)
         self._backoff = Backoff(base=BACKOFF_BASE, most=BACKOFF_MOST)
-        self._chance = chance
+        self._chance = jitter
         self._pause = 0.0
 
     def close(self) -> None:
@@ -54,7 +54,7 @@
                 self._pause = 0.0
                 self._backoff.reset()
             case Unavailable():
-                self._pause = self._backoff.next_delay(chance=self._chance())
+                self._pause = self._backoff.next_delay(jitter=self._chance())
         return result
 
 
--- a/eelgrassrack/store/records.py
+++ b/eelgrassrack/store/records.py
@@ -34,27 +34,27 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Loaded(msgspec.Struct, Generic[Record], kw_only=True, frozen=True):
+class VersionedRecord(msgspec.Struct, Generic[Record], kw_only=True, frozen=True):
     """A record and the version of its object."""
 
     record: Record
     version: int
 
 
-class Put(msgspec.Struct, kw_only=True, frozen=True):
+class RecordWritten(msgspec.Struct, kw_only=True, frozen=True):
     """The write took effect and the object still holds it."""
 
     version: int
 
 
-class Overtaken(msgspec.Struct, Generic[Record], kw_only=True, frozen=True):
+class RecordConflict(msgspec.Struct, Generic[Record], kw_only=True, frozen=True):
     """The object holds another record than the writer's.
 
     The writer's own may have stood there for a while before, unless
     `tried` is false.
     """
 
-    found: Loaded[Record] | Absent
+    found: VersionedRecord[Record] | Absent
     tried: bool = False
 
 
@@ -76,14 +76,14 @@
 
 async def read_record(
     *, store: ObjectStore, kind: str, name: str, record: type[Record]
-) -> Loaded[Record] | Absent | Unavailable:
+) -> VersionedRecord[Record] | Absent | Unavailable:
     """Return an object as a typed record."""
     match await store.read(kind=kind, name=name):
         case Found(body=body, version=version):
             read = decode_record(body, record)
             if read is None:
                 return Unavailable(reason=f"{kind} {name} can't be read")
-            return Loaded(record=read, version=version)
+            return VersionedRecord(record=read, version=version)
         case Absent() | Unavailable() as other:
             return other
 
@@ -96,7 +96,7 @@
     record: Record,
     version: int,
     is_own: Callable[[Any], bool],
-) -> Put | Overtaken[Record] | Unavailable:
+) -> RecordWritten | RecordConflict[Record] | Unavailable:
     """Create the object (version `NEW`) or replace it at a version.
 
     `is_own` recognises this very write in a record read back.  After an
@@ -109,7 +109,7 @@
     for _ in range(WRITE_TRIES):
         match await _write(store, kind, name, body, version):
             case Written(version=written):
-                return Put(version=written)
+                return RecordWritten(version=written)
             case Unavailable(maybe_written=False) as last if not unclear:
                 return last
             case Unavailable() as last:
@@ -117,12 +117,12 @@
             case Conflict():
                 pass
         match await read_record(store=store, kind=kind, name=name, record=type(record)):
-            case Loaded(record=found, version=at) if is_own(found):
-                return Put(version=at)
-            case Loaded(version=at) as found if at != version:
-                return Overtaken(found=found, tried=unclear)
+            case VersionedRecord(record=found, version=at) if is_own(found):
+                return RecordWritten(version=at)
+            case VersionedRecord(version=at) as found if at != version:
+                return RecordConflict(found=found, tried=unclear)
             case Absent() as found if version != NEW:
-                return Overtaken(found=found, tried=unclear)
+                return RecordConflict(found=found, tried=unclear)
             case Unavailable() as last:
                 pass
     return Unavailable(
--- a/eelgrassrack/store/custody.py
+++ b/eelgrassrack/store/recovery.py
@@ -19,10 +19,17 @@
 import msgspec
 
 from ..mailbox.messages import Bill
-from .ledger import Adding, Ledger
+from .ledger import AddResult, Ledger
 from .objects import Absent, ObjectStore, Unavailable
 from .pages import HEAD_KIND, LedgerHead
-from .records import NEW, Loaded, Overtaken, Put, put_record, read_record
+from .records import (
+    NEW,
+    RecordConflict,
+    RecordWritten,
+    VersionedRecord,
+    put_record,
+    read_record,
+)
 from .sealed import SealedLedgers, find_on_pages
 
 log = logbook.Logger("custody")
@@ -31,7 +38,7 @@
 SEAL_ROUNDS = 5
 
 
-class Adopted(msgspec.Struct, kw_only=True, frozen=True):
+class RecoveredBills(msgspec.Struct, kw_only=True, frozen=True):
     """What became of bills that were handed over.
 
     `billed` attempts stand in a ledger and may be settled at once; `added`
@@ -44,7 +51,7 @@
     refused: tuple[str, ...] = ()
 
 
-async def adopt(
+async def recover_bills(
     *,
     store: ObjectStore,
     ledger: Ledger,
@@ -53,7 +60,7 @@
     bills: Iterable[Bill],
     sealed: SealedLedgers | None = None,
     clock: Callable[[], float] = time.time,
-) -> Adopted | Unavailable:
+) -> RecoveredBills | Unavailable:
     """Add those bills to the ledger that none of the holders' ledgers has.
 
     `into` is the ledger that the agent will name as this entry's.  It has
@@ -64,7 +71,7 @@
     missing = {bill.attempt: bill for bill in bills}
     attempts = set(missing)
     if into != ledger.incarnation:
-        return Adopted(refused=tuple(attempts))
+        return RecoveredBills(refused=tuple(attempts))
     sealed = sealed or SealedLedgers(store=store)
     for holder in dict.fromkeys(holders):
         if holder == ledger.incarnation:
@@ -84,14 +91,16 @@
     return _add_missing(ledger, _subtract(missing, found), attempts)
 
 
-def _refuse_late(holder: str, missing: dict[str, Bill], attempts: set[str]) -> Adopted:
+def _refuse_late(
+    holder: str, missing: dict[str, Bill], attempts: set[str]
+) -> RecoveredBills:
     """Leave bills out whose holder's lines are gone.
 
     With the lines the proof is gone that a bill isn't among them: rather
     leave one out than bill it twice.
     """
     log.error("custody: too late for bills of {}: {}", holder, [*missing])
-    return Adopted(refused=tuple(missing), billed=_leave(attempts, missing))
+    return RecoveredBills(refused=tuple(missing), billed=_leave(attempts, missing))
 
 
 async def _find_own(
@@ -120,21 +129,21 @@
 
 def _add_missing(
     ledger: Ledger, missing: dict[str, Bill], attempts: set[str]
-) -> Adopted:
+) -> RecoveredBills:
     """Add the missing bills and sort the attempts by what became of them."""
     billed = list(_leave(attempts, missing))
     added: list[str] = []
     refused: list[str] = []
     for attempt, bill in missing.items():
         match ledger.add(bill=bill, into=ledger.incarnation):
-            case Adding.ADDED | Adding.WAITING:
+            case AddResult.ADDED | AddResult.WAITING:
                 added.append(attempt)
-            case Adding.FLUSHED:
+            case AddResult.FLUSHED:
                 billed.append(attempt)
-            case Adding.FULL | Adding.SEALED | Adding.OTHER_LEDGER:
+            case AddResult.FULL | AddResult.SEALED | AddResult.OTHER_LEDGER:
                 refused.append(attempt)
     log.info("custody: {} billed before, {} added", len(billed), len(added))
-    return Adopted(
+    return RecoveredBills(
         billed=tuple(sorted(billed)), added=tuple(added), refused=tuple(refused)
     )
 
@@ -160,9 +169,9 @@
         match found:
             case Unavailable():
                 return found
-            case Loaded(record=head) if head.sealed:
+            case VersionedRecord(record=head) if head.sealed:
                 return head
-            case Loaded(record=head, version=version):
+            case VersionedRecord(record=head, version=version):
                 sealed = msgspec.structs.replace(head, sealed=True, changed_at=clock())
             case Absent():
                 sealed, version = LedgerHead(sealed=True, changed_at=clock()), NEW
@@ -175,11 +184,11 @@
             is_own=sealed.__eq__,
         )
         match result:
-            case Put():
+            case RecordWritten():
                 log.info("custody: sealed: {}", incarnation)
                 return sealed
             case Unavailable():
                 return result
-            case Overtaken():
+            case RecordConflict():
                 continue
     return Unavailable(reason=f"ledger {incarnation} keeps changing")
--- a/eelgrassrack/store/revisions.py
+++ b/eelgrassrack/store/revisions.py
@@ -3,7 +3,7 @@
 from ..invariants import Invariants, Promise
 
 
-class Revisions:
+class RevisionGuard:
     """Accept only a revision above every one accepted before.
 
     A paused peer, a late answer or a store's lagging reader may offer an
--- a/eelgrassrack/store/sealed.py
+++ b/eelgrassrack/store/sealed.py
@@ -14,7 +14,7 @@
 
 from .objects import ObjectStore, Unavailable
 from .pages import LedgerHead, Page, read_page
-from .patience import insist
+from .throttling import retry_throttled
 
 # Ledgers kept.  One of 128 pages with 410 attempts takes 0.4 MB.
 KEPT_LEDGERS = 8
@@ -77,7 +77,7 @@
 async def _read_page(
     store: ObjectStore, incarnation: str, number: int
 ) -> Page | Unavailable:
-    return await insist(
+    return await retry_throttled(
         lambda: read_page(store=store, incarnation=incarnation, number=number)
     )
 
--- a/eelgrassrack/store/texts.py
+++ b/eelgrassrack/store/texts.py
@@ -20,7 +20,7 @@
     Unavailable,
     Written,
 )
-from .patience import insist
+from .throttling import retry_throttled
 
 KIND = "sections"
 
@@ -77,7 +77,7 @@
         return None
 
     async def _read_one(self, name: str) -> str | Unavailable:
-        match await insist(lambda: self._store.read(kind=KIND, name=name)):
+        match await retry_throttled(lambda: self._store.read(kind=KIND, name=name)):
             case Found(body=body) if hashlib.sha256(body).hexdigest() == name:
                 return body.decode()
             case Found() | Absent():
@@ -94,9 +94,9 @@
         def create() -> Awaitable[Written | Conflict | Unavailable]:
             return self._store.create(kind=KIND, name=name, body=body)
 
-        result = await insist(create)
+        result = await retry_throttled(create)
         if isinstance(result, Unavailable) and result.maybe_written:
-            result = await insist(create)
+            result = await retry_throttled(create)
         match result:
             case Written() | Conflict():
                 return None
--- a/eelgrassrack/store/patience.py
+++ b/eelgrassrack/store/throttling.py
@@ -22,7 +22,7 @@
 PATIENCE_SECONDS = 5.0
 
 
-async def insist(
+async def retry_throttled(
     call: Callable[[], Awaitable[Result | Unavailable]],
 ) -> Result | Unavailable:
     """Repeat a call that was refused for a moment; it must be repeatable."""
--- a/eelgrassrack/store/totals.py
+++ b/eelgrassrack/store/totals.py
@@ -9,8 +9,8 @@
 from ..invariants import Invariants, Promise
 from .objects import Absent, Names, ObjectStore, Unavailable
 from .pages import HEAD_KIND, BillLine, LedgerHead, read_page
-from .patience import insist
-from .records import Loaded, read_record
+from .records import VersionedRecord, read_record
+from .throttling import retry_throttled
 
 # So many attempts are held against each other at a time.  At 670 bytes for
 # each (measured) they take 330 MB, in the operators' command alone.
@@ -157,7 +157,7 @@
     sums: dict[str, OrganisationBills],
 ) -> Unavailable | None:
     """Add a ledger's pages, or the totals that are left of them."""
-    head = await insist(
+    head = await retry_throttled(
         lambda: read_record(
             store=store, kind=HEAD_KIND, name=incarnation, record=LedgerHead
         )
@@ -167,11 +167,11 @@
             return head
         case Absent():
             return None
-        case Loaded(record=record) if record.folded:
+        case VersionedRecord(record=record) if record.folded:
             for total in record.totals:
                 _add_bills(sums, OrganisationBills(**msgspec.structs.asdict(total)))
             return None
-        case Loaded(record=record):
+        case VersionedRecord(record=record):
             pages = range(record.pages)
     return await read_lines(
         store=store, incarnation=incarnation, pages=pages, lines=lines
@@ -183,7 +183,7 @@
 ) -> Unavailable | None:
     """Add the lines of a ledger's pages, one page at a time."""
     for number in pages:
-        page = await insist(
+        page = await retry_throttled(
             lambda number=number: read_page(
                 store=store, incarnation=incarnation, number=number
             )
--- a/test/gateway/spread.py
+++ b/test/gateway/spread.py
@@ -134,7 +134,7 @@
     def close(self):
         """Nothing is open."""
 
-    async def list(self, *, kind, timeout, is_stale_fine=False):
+    async def list(self, *, kind, timeout, allow_stale=False):
         found = await wait_moving(self._node, self._list(kind), timeout)
         return found or Away(reason="silent")
 
--- a/test/promises/test_at_most_once.py
+++ b/test/promises/test_at_most_once.py
@@ -8,7 +8,7 @@
 
 from eelgrassrack.agent.records import Records
 from eelgrassrack.mailbox.messages import Start
-from eelgrassrack.store.claims import Claims, Taken
+from eelgrassrack.store.claims import ClaimAcquired, Claims
 
 from .guards import breaks
 from .links import first_of
@@ -24,7 +24,7 @@
 @pytest.fixture
 def claims_unwritten(monkeypatch):
     async def put(claims, name, claim, version):
-        return Taken(version=1)
+        return ClaimAcquired(version=1)
 
     monkeypatch.setattr(Claims, "_put", put)
 
--- a/test/promises/test_billed.py
+++ b/test/promises/test_billed.py
@@ -9,7 +9,7 @@
 from eelgrassrack.agent.settlement import Settlement
 from eelgrassrack.mailbox.messages import Settle
 from eelgrassrack.standins import system
-from eelgrassrack.store import custody, ledger
+from eelgrassrack.store import ledger, recovery
 from eelgrassrack.store.pages import LedgerHead
 from eelgrassrack.store.records import put_record
 
@@ -46,7 +46,7 @@
     async def seal(**arguments):
         return LedgerHead(sealed=True)
 
-    monkeypatch.setattr(custody, "seal_ledger", seal)
+    monkeypatch.setattr(recovery, "seal_ledger", seal)
 
 
 @pytest.fixture
--- a/test/standins/test_service.py
+++ b/test/standins/test_service.py
@@ -141,7 +141,7 @@
     api = InstanceListApi(table=table)
 
     async def scenario():
-        client = HttpInstanceList(url=api.url, chance=lambda: 0.0)
+        client = HttpInstanceList(url=api.url, jitter=lambda: 0.0)
         table.outage = True
         started = asyncio.get_running_loop().time()
         for _ in range(4):
--- a/test/store/test_budget.py
+++ b/test/store/test_budget.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eelgrassrack.store.budget import Backoff, CallBudget, Gate
+from eelgrassrack.store.budget import Backoff, CallBudget, CircuitBreaker
 
 GAPS = st.lists(st.floats(min_value=0, max_value=3), min_size=1, max_size=60)
 
@@ -44,17 +44,17 @@
 
 def test_delays_double_to_the_most_and_begin_anew_after_a_success():
     backoff = Backoff(base=1.0, most=4.0)
-    assert [backoff.next_delay(chance=1.0) for _ in range(4)] == [1.0, 2.0, 4.0, 4.0]
-    assert backoff.next_delay(chance=0.0) == 2.0
+    assert [backoff.next_delay(jitter=1.0) for _ in range(4)] == [1.0, 2.0, 4.0, 4.0]
+    assert backoff.next_delay(jitter=0.0) == 2.0
     backoff.reset()
-    assert backoff.next_delay(chance=1.0) == 1.0
+    assert backoff.next_delay(jitter=1.0) == 1.0
 
 
 def make_shut_gate(*, now):
-    gate = Gate(backoff=Backoff(base=1.0, most=4.0))
+    gate = CircuitBreaker(backoff=Backoff(base=1.0, most=4.0))
     for _ in range(3):
         assert gate.find_wait(now=now) == 0.0
-        gate.fail(now=now, chance=1.0)
+        gate.fail(now=now, jitter=1.0)
     return gate
 
 
@@ -81,8 +81,8 @@
 
 
 def test_a_platform_that_names_a_time_is_left_alone_until_then():
-    gate = Gate(backoff=Backoff(base=0.1, most=4.0))
-    gate.fail(now=10.0, chance=0.0, retry_after=5.0)
+    gate = CircuitBreaker(backoff=Backoff(base=0.1, most=4.0))
+    gate.fail(now=10.0, jitter=0.0, retry_after=5.0)
     assert gate.find_wait(now=10.0) == 5.0
 
 
@@ -90,10 +90,10 @@
     """Return when each daemon first calls after an outage of a minute."""
     returned = []
     for _ in range(daemons):
-        gate = Gate(backoff=Backoff(base=0.1, most=4.0))
+        gate = CircuitBreaker(backoff=Backoff(base=0.1, most=4.0))
         now = 0.0
         while now < 60.0:
-            gate.fail(now=now, chance=next(chances))
+            gate.fail(now=now, jitter=next(chances))
             now += gate.find_wait(now=now) or 0.01
         returned.append(now)
     return returned
--- a/test/store/test_claims.py
+++ b/test/store/test_claims.py
@@ -9,20 +9,25 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from eelgrassrack.invariants import InvariantError, Invariants
-from eelgrassrack.store.claim import MAX_ANSWER_BYTES, Claim, ClaimState, claim_name
+from eelgrassrack.store.claim import (
+    MAX_ANSWER_BYTES,
+    Claim,
+    ClaimState,
+    make_claim_name,
+)
 from eelgrassrack.store.claims import (
     SWEEP_MARGIN,
+    ClaimAcquired,
     Claims,
     ClaimUnavailable,
-    Finished,
-    Held,
-    Taken,
+    ExistingClaim,
+    OutcomeRecorded,
 )
 from eelgrassrack.store.sweeping import PREFIX_DIGITS, Swept
 
 from .steps import Crew, FaultyStore, SteppedStore, make_store, pause, run
 
-NAME = claim_name(organisation="registrar", operation="issue", key="k1")
+NAME = make_claim_name(organisation="registrar", operation="issue", key="k1")
 EXPIRES_AT = 1000.0
 KEYS = ("issue-1", "issue-1", "issue-1", "issue-2")
 AGENTS = (0, 1)
@@ -55,8 +60,8 @@
             invariants=Invariants(strict=True),
         )
 
-    def take(self, attempt):
-        return run(self.claims.take(name=NAME, claim=make_claim(attempt)))
+    def acquire(self, attempt):
+        return run(self.claims.acquire(name=NAME, claim=make_claim(attempt)))
 
     def finish(self, claim, version):
         return run(self.claims.finish(name=NAME, version=version, claim=claim))
@@ -68,8 +73,8 @@
 
 
 def test_names_differ():
-    first = claim_name(organisation="ab", operation="c", key="d")
-    assert first != claim_name(organisation="a", operation="bc", key="d")
+    first = make_claim_name(organisation="ab", operation="c", key="d")
+    assert first != make_claim_name(organisation="a", operation="bc", key="d")
 
 
 def test_lost_answer_to_take(kit):
@@ -79,8 +84,8 @@
     and bar each resend by a claim that nobody works on.
     """
     kit.store.faults.extend(["lost"])
-    assert kit.take("a1") == Taken(version=1)
-    assert isinstance(kit.take("a2"), Held)
+    assert kit.acquire("a1") == ClaimAcquired(version=1)
+    assert isinstance(kit.acquire("a2"), ExistingClaim)
 
 
 def test_unclear_take_is_taken_over(kit):
@@ -91,11 +96,11 @@
     must then be able to run.
     """
     kit.store.faults.extend(["lost", "down", "down", "down", "down", "down"])
-    taken = kit.take("a1")
+    taken = kit.acquire("a1")
     assert isinstance(taken, ClaimUnavailable)
     assert taken.maybe_written
     kit.store.faults.clear()
-    held = kit.take("a2")
+    held = kit.acquire("a2")
     result = run(
         kit.claims.take_over(
             name=NAME,
@@ -104,7 +109,7 @@
             claim=make_claim("a2"),
         )
     )
-    assert result == Taken(version=2)
+    assert result == ClaimAcquired(version=2)
 
 
 def test_paused_entry_is_overtaken(kit):
@@ -114,14 +119,14 @@
     another attempt into the claim, but be given the certificate's number.
     """
     old = make_claim("a1")
-    assert kit.take("a1") == Taken(version=1)
+    assert kit.acquire("a1") == ClaimAcquired(version=1)
     claim = make_claim("a2")
     taken = run(
         kit.claims.take_over(name=NAME, held_version=1, old_claim=old, claim=claim)
     )
-    assert kit.finish(make_done(claim), taken.version) == Finished(version=3)
+    assert kit.finish(make_done(claim), taken.version) == OutcomeRecorded(version=3)
     moved = run(
-        kit.claims.move(name=NAME, version=1, old_claim=old, claim=make_claim("a3"))
+        kit.claims.reassign(name=NAME, version=1, old_claim=old, claim=make_claim("a3"))
     )
     assert moved.claim.answer == b"no. 17"
 
@@ -129,23 +134,23 @@
 def test_claim_of_finished_request_is_kept(kit):
     """An entry reads an outcome and still tries to take the claim over."""
     done = make_done(make_claim("a1"))
-    kit.take("a1")
+    kit.acquire("a1")
     kit.finish(done, 1)
     held = run(
         kit.claims.take_over(
             name=NAME, held_version=2, old_claim=done, claim=make_claim("a2")
         )
     )
-    assert held == Held(claim=done, version=2)
+    assert held == ExistingClaim(claim=done, version=2)
 
 
 def test_lost_answer_to_finish(kit):
     """The outcome is recorded, the answer to that lost, and it is retried."""
-    kit.take("a1")
+    kit.acquire("a1")
     done = make_done(make_claim("a1"))
     kit.store.faults.extend(["lost", "down", "down", "down", "down", "down"])
     assert isinstance(kit.finish(done, 1), ClaimUnavailable)
-    assert kit.finish(done, 1) == Finished(version=2)
+    assert kit.finish(done, 1) == OutcomeRecorded(version=2)
 
 
 def test_outcome_replaces_unknown(kit):
@@ -154,17 +159,17 @@
     The entry that has the answer puts it there afterwards; the other way
     round an answer on record must not be lost.
     """
-    kit.take("a1")
+    kit.acquire("a1")
     unknown = make_claim("a1", state=ClaimState.UNKNOWN)
     done = make_done(make_claim("a1"))
-    assert kit.finish(unknown, 1) == Finished(version=2)
-    assert kit.finish(done, 1) == Finished(version=3)
-    assert kit.finish(unknown, 2) == Held(claim=done, version=3)
+    assert kit.finish(unknown, 1) == OutcomeRecorded(version=2)
+    assert kit.finish(done, 1) == OutcomeRecorded(version=3)
+    assert kit.finish(unknown, 2) == ExistingClaim(claim=done, version=3)
 
 
 def test_broken_vow_is_noticed(kit):
     """An agent vows never to start an attempt and runs it all the same."""
-    kit.take("a1")
+    kit.acquire("a1")
     run(
         kit.claims.take_over(
             name=NAME,
@@ -184,25 +189,25 @@
 
 def test_released_claim_is_taken(kit):
     """No endpoint took the request, so that the caller was told "not run"."""
-    kit.take("a1")
+    kit.acquire("a1")
     run(kit.claims.release(name=NAME, version=1, claim=make_claim("a1")))
-    assert kit.take("a2") == Taken(version=3)
+    assert kit.acquire("a2") == ClaimAcquired(version=3)
 
 
 def test_large_answer_leaves_outcome(kit):
     """An answer too large to keep must not cost the record of the outcome."""
-    kit.take("a1")
+    kit.acquire("a1")
     done = make_claim(
         "a1", state=ClaimState.DONE, status=200, answer=b"x" * (MAX_ANSWER_BYTES + 1)
     )
-    assert kit.finish(done, 1) == Finished(version=2)
+    assert kit.finish(done, 1) == OutcomeRecorded(version=2)
     claim = run(kit.claims.read(name=NAME)).claim
     assert (claim.status, claim.answer, claim.answer_kept) == (200, b"", False)
 
 
 def test_sweep_removes_only_long_expired(kit):
     """A claim that just expired stays, as an entry may still act on it."""
-    kit.take("a1")
+    kit.acquire("a1")
     rounds = 16**PREFIX_DIGITS
     kit.now = EXPIRES_AT + SWEEP_MARGIN - 1
     swept = [run(kit.claims.sweep(limit=10)) for _ in range(rounds)]
@@ -225,7 +230,7 @@
 def test_sweep_is_bounded(kit):
     for number in range(5):
         name = f"00{number:062x}"
-        run(kit.claims.take(name=name, claim=make_claim(f"a{number}")))
+        run(kit.claims.acquire(name=name, claim=make_claim(f"a{number}")))
     kit.now = EXPIRES_AT + SWEEP_MARGIN
     swept = [run(kit.claims.sweep(limit=2)) for _ in range(3)]
     assert swept == [Swept(looked_at=count, removed=count) for count in (2, 2, 1)]
@@ -298,24 +303,24 @@
 
     async def serve(self, key, number):
         """Serve one caller as an entry does."""
-        name = claim_name(organisation="o", operation="issue", key=key)
+        name = make_claim_name(organisation="o", operation="issue", key=key)
         claim = self.make(number)
-        state = await self.claims.take(name=name, claim=claim)
+        state = await self.claims.acquire(name=name, claim=claim)
         for _ in range(6):
             match state:
                 case ClaimUnavailable():
                     self.not_run.append(claim.attempt)
                     return None
-                case Held(claim=held) if held.state is ClaimState.DONE:
+                case ExistingClaim(claim=held) if held.state is ClaimState.DONE:
                     return self.tell(key, held.answer)
-                case Taken(version=version):
+                case ClaimAcquired(version=version):
                     answer = await self.dispatch(key, claim)
-                case Held(claim=held, version=version):
+                case ExistingClaim(claim=held, version=version):
                     await pause()
                     agent = self.agents[int(held.endpoint)]
                     answer = agent.ask(held.attempt, held.agent)
                     await pause()
-            mine = claim if isinstance(state, Taken) else held
+            mine = claim if isinstance(state, ClaimAcquired) else held
             if answer is not None:
                 return await self.conclude(key, name, version, mine, answer)
             fresh = self.make(number)
@@ -344,7 +349,7 @@
             answer=answer if known else b"",
         )
         result = await self.claims.finish(name=name, version=version, claim=claim)
-        if isinstance(result, Held) and result.claim.state is ClaimState.DONE:
+        if isinstance(result, ExistingClaim) and result.claim.state is ClaimState.DONE:
             return self.tell(key, result.claim.answer)
         return self.tell(key, answer) if known else "unknown"
 
--- a/test/store/test_client.py
+++ b/test/store/test_client.py
@@ -39,7 +39,7 @@
             url=self.api.url,
             caller="entry-1",
             clock=lambda: self.now,
-            chance=lambda: 0.0,
+            jitter=lambda: 0.0,
             **options,
         )
 
--- a/test/store/test_folding.py
+++ b/test/store/test_compaction.py
@@ -4,11 +4,11 @@
 
 from eelgrassrack.invariants import Invariants
 from eelgrassrack.mailbox.messages import Bill
-from eelgrassrack.store.custody import Adopted, adopt, seal_ledger
-from eelgrassrack.store.folding import IDLE_SECONDS, KEPT_SECONDS, LedgerArchive
+from eelgrassrack.store.compaction import IDLE_SECONDS, KEPT_SECONDS, LedgerCompactor
 from eelgrassrack.store.ledger import Ledger, LedgerSealed
 from eelgrassrack.store.objects import Unavailable
 from eelgrassrack.store.pages import PAGE_KIND
+from eelgrassrack.store.recovery import RecoveredBills, recover_bills, seal_ledger
 from eelgrassrack.store.sweeping import Swept
 from eelgrassrack.store.totals import read_totals
 
@@ -38,7 +38,9 @@
     def __init__(self):
         self.now = 1e9
         self.store = FaultyStore()
-        self.archive = LedgerArchive(store=self.store, clock=self.read_clock, rest=rest)
+        self.archive = LedgerCompactor(
+            store=self.store, clock=self.read_clock, rest=rest
+        )
         self.ledger = self.make_ledger("old")
         for attempt in ATTEMPTS:
             bill = make_bill(attempt, step=int(attempt == "a3"))
@@ -75,7 +77,7 @@
     def recover(self, *attempts, holder="old"):
         heir = self.make_ledger("heir")
         return run(
-            adopt(
+            recover_bills(
                 store=self.store,
                 ledger=heir,
                 into="heir",
@@ -115,20 +117,20 @@
     kit.ledger.add(bill=make_bill("a4"), into="old")
     kit.sweep(IDLE_SECONDS + 1)
     assert run(kit.ledger.flush()) == LedgerSealed(dropped=("a4",))
-    assert kit.recover("a3", "a4") == Adopted(billed=("a3",), added=("a4",))
+    assert kit.recover("a3", "a4") == RecoveredBills(billed=("a3",), added=("a4",))
 
 
 def test_bill_after_folding_is_refused(kit):
     """A bill comes so late that nobody can tell whether it was billed."""
     kit.fold()
-    assert kit.recover("a1", "a5") == Adopted(refused=("a1", "a5"))
+    assert kit.recover("a1", "a5") == RecoveredBills(refused=("a1", "a5"))
 
 
 def test_empty_ledger_is_no_reason_to_refuse(kit):
     """A ledger was sealed before its first flush, and folded long after."""
     run(seal_ledger(store=kit.store, incarnation="empty", clock=kit.read_clock))
     kit.fold()
-    assert kit.recover("a5", holder="empty") == Adopted(added=("a5",))
+    assert kit.recover("a5", holder="empty") == RecoveredBills(added=("a5",))
 
 
 @pytest.mark.parametrize("calls", range(1, 14))
--- a/test/store/test_head.py
+++ b/test/store/test_head.py
@@ -21,7 +21,7 @@
 )
 from eelgrassrack.store.headrecord import KIND
 from eelgrassrack.store.objects import Absent, Unavailable, Unchanged
-from eelgrassrack.store.revisions import Revisions
+from eelgrassrack.store.revisions import RevisionGuard
 
 from .steps import make_store
 
@@ -363,7 +363,7 @@
 
 def test_revisions_never_revert():
     """A peer that was paused offers the document it had before."""
-    revisions = Revisions(invariants=Invariants(strict=True))
+    revisions = RevisionGuard(invariants=Invariants(strict=True))
     assert [revisions.accept(number) for number in (3, 3, 2, 5)] == [
         True,
         False,
--- a/test/store/test_ledger.py
+++ b/test/store/test_ledger.py
@@ -11,8 +11,7 @@
 from eelgrassrack.invariants import Invariants
 from eelgrassrack.mailbox.messages import Bill
 from eelgrassrack.store import ledger as ledger_module
-from eelgrassrack.store.custody import Adopted, adopt, seal_ledger
-from eelgrassrack.store.ledger import Adding, Flushed, Ledger, LedgerSealed
+from eelgrassrack.store.ledger import AddResult, Flushed, Ledger, LedgerSealed
 from eelgrassrack.store.ledgers import (
     LONGEST_LEDGER_SECONDS,
     OLD_LEDGER_SECONDS,
@@ -20,6 +19,7 @@
 )
 from eelgrassrack.store.objects import MAX_BODY_BYTES, Unavailable
 from eelgrassrack.store.pages import PAGE_KIND
+from eelgrassrack.store.recovery import RecoveredBills, recover_bills, seal_ledger
 from eelgrassrack.store.sealed import SealedLedgers
 from eelgrassrack.store.totals import read_totals
 
@@ -54,12 +54,12 @@
 def fill(ledger, *attempts):
     for attempt in attempts:
         verdict = ledger.add(bill=make_bill(attempt), into=ledger.incarnation)
-        assert verdict is Adding.ADDED
+        assert verdict is AddResult.ADDED
 
 
 def recover(store, ledger, *attempts, holders):
     return run(
-        adopt(
+        recover_bills(
             store=store,
             ledger=ledger,
             into=ledger.incarnation,
@@ -90,9 +90,9 @@
 
 def test_flush_bills_once(store, first):
     fill(first, "a1", "a2")
-    assert first.add(bill=make_bill("a1"), into="first") is Adding.WAITING
+    assert first.add(bill=make_bill("a1"), into="first") is AddResult.WAITING
     assert run(first.flush()) == Flushed(attempts=("a1", "a2"))
-    assert first.add(bill=make_bill("a1"), into="first") is Adding.FLUSHED
+    assert first.add(bill=make_bill("a1"), into="first") is AddResult.FLUSHED
     assert run(first.flush()) == Flushed(attempts=())
     (bills,) = read_bills(store).organisations
     assert (bills.requests, bills.attempts, bills.money) == (2, 2, 600)
@@ -107,7 +107,7 @@
     in the new one would be overlooked and the request billed twice.
     """
     verdict = first.add(bill=make_bill("a1"), into="earlier")
-    assert verdict is Adding.OTHER_LEDGER
+    assert verdict is AddResult.OTHER_LEDGER
     assert first.waiting == 0
 
 
@@ -151,9 +151,9 @@
     run(first.flush())
     fill(first, "a2")
     adopted = recover(store, second, "a1", "a2", holders=("first",))
-    assert adopted == Adopted(billed=("a1",), added=("a2",))
+    assert adopted == RecoveredBills(billed=("a1",), added=("a2",))
     assert run(first.flush()) == LedgerSealed(dropped=("a2",))
-    assert first.add(bill=make_bill("a3"), into="first") is Adding.SEALED
+    assert first.add(bill=make_bill("a3"), into="first") is AddResult.SEALED
     assert run(second.flush()) == Flushed(attempts=("a2",))
     assert read_bills(store).organisations[0].attempts == 2
 
@@ -177,7 +177,7 @@
     assert isinstance(run(first.flush()), Unavailable)
     store.faults.clear()
     adopted = recover(store, second, "a1", holders=("first",))
-    assert adopted == Adopted(billed=("a1",))
+    assert adopted == RecoveredBills(billed=("a1",))
     assert run(first.flush()) == Flushed(attempts=("a1",))
     assert first.is_sealed
 
@@ -188,9 +188,9 @@
     recover(store, second, "a1", "a2", holders=("first",))
     run(second.flush())
     adopted = recover(store, third, "a1", "a3", holders=("first", "second"))
-    assert adopted == Adopted(billed=("a1",), added=("a3",))
+    assert adopted == RecoveredBills(billed=("a1",), added=("a3",))
     again = recover(store, third, "a3", holders=("first", "second", "third"))
-    assert again == Adopted(added=("a3",))
+    assert again == RecoveredBills(added=("a3",))
 
 
 def test_sealed_by_another_after_a_flush(store, first):
@@ -222,7 +222,7 @@
         run(ledger.flush())
     assert ledger.has_forgotten
     adopted = recover(store, ledger, "a1", holders=())
-    assert adopted == Adopted(billed=("a1",))
+    assert adopted == RecoveredBills(billed=("a1",))
 
 
 def test_recovery_for_another_ledger_is_refused(store, second):
@@ -232,7 +232,7 @@
     look into the new one.
     """
     adopted = run(
-        adopt(
+        recover_bills(
             store=store,
             ledger=second,
             into="earlier",
@@ -240,7 +240,7 @@
             bills=[make_bill("a1")],
         )
     )
-    assert adopted == Adopted(refused=("a1",))
+    assert adopted == RecoveredBills(refused=("a1",))
     assert second.waiting == 0
 
 
@@ -252,7 +252,7 @@
 
     def recover_one(attempt):
         return run(
-            adopt(
+            recover_bills(
                 store=store,
                 ledger=second,
                 into="second",
@@ -262,10 +262,10 @@
             )
         )
 
-    assert recover_one("a1") == Adopted(billed=("a1",))
+    assert recover_one("a1") == RecoveredBills(billed=("a1",))
     calls = store.calls.total()
-    assert recover_one("a2") == Adopted(billed=("a2",))
-    assert recover_one("a3") == Adopted(added=("a3",))
+    assert recover_one("a2") == RecoveredBills(billed=("a2",))
+    assert recover_one("a3") == RecoveredBills(added=("a3",))
     assert store.calls.total() == calls + 2
 
 
@@ -281,7 +281,7 @@
     assert not first.is_full
     fill(first, "a2", "a3")
     assert first.is_full
-    assert first.add(bill=make_bill("a4"), into="first") is Adding.FULL
+    assert first.add(bill=make_bill("a4"), into="first") is AddResult.FULL
 
 
 def test_pages_stay_below_the_limit(store, first):
@@ -363,11 +363,11 @@
     run(ledgers.flush(now=0.0))
     assert ledgers.current is not old
     late = ledgers.add(bill=make_bill("a2"), into=old.incarnation)
-    assert late is Adding.ADDED
+    assert late is AddResult.ADDED
     assert run(ledgers.flush(now=1.0)).settled == ("a2",)
     run(ledgers.flush(now=2.0 + OLD_LEDGER_SECONDS))
     gone = ledgers.add(bill=make_bill("a3"), into=old.incarnation)
-    assert gone is Adding.OTHER_LEDGER
+    assert gone is AddResult.OTHER_LEDGER
 
 
 class Held(msgspec.Struct):
@@ -435,7 +435,7 @@
             self.start(entry, self.recover(entry, handing))
             return
         bill = handing.bill
-        if entry.ledgers.add(bill=bill, into=bill.ledger) is Adding.FLUSHED:
+        if entry.ledgers.add(bill=bill, into=bill.ledger) is AddResult.FLUSHED:
             self.held[bill.attempt].settled = True
 
     def start(self, entry, coroutine):
@@ -447,14 +447,14 @@
         ledger = entry.ledgers.find(handing.bill.ledger)
         if ledger is None:
             return
-        result = await adopt(
+        result = await recover_bills(
             store=entry.store,
             ledger=ledger,
             into=handing.bill.ledger,
             holders=handing.holders,
             bills=[handing.bill],
         )
-        if isinstance(result, Adopted):
+        if isinstance(result, RecoveredBills):
             self.settle(result.billed)
 
     async def flush_entry(self, entry, *, is_lost=False):
--- a/test/store/test_patience.py
+++ b/test/store/test_throttling.py
@@ -4,8 +4,8 @@
 
 from eelgrassrack.store.budget import CallBudget
 from eelgrassrack.store.objects import Unavailable
-from eelgrassrack.store.patience import LONGEST_WAIT, insist
 from eelgrassrack.store.texts import SectionTexts, digest_text
+from eelgrassrack.store.throttling import LONGEST_WAIT, retry_throttled
 
 from .steps import make_store
 
@@ -68,5 +68,5 @@
         calls.append(1)
         return Unavailable(reason="outage", retry_after=LONGEST_WAIT * 2)
 
-    assert isinstance(asyncio.run(insist(fail)), Unavailable)
+    assert isinstance(asyncio.run(retry_throttled(fail)), Unavailable)
     assert len(calls) == 1
