--- a/bench/fuzz/network.py
+++ b/bench/fuzz/network.py
@@ -13,7 +13,7 @@
 
 from eelgrassrack.agent.agent import Agent
 from eelgrassrack.agent.runner import Runner
-from eelgrassrack.entry.entry import Entry
+from eelgrassrack.entry.entry import EntryDaemon
 from eelgrassrack.mailbox.socket import Mailbox
 
 LONGEST_DELAY = 0.8
@@ -32,7 +32,7 @@
         self.lost = 0
         self.delayed = 0
         self._chance = random.Random(seed)
-        self._frozen: dict[int, Entry | Agent] = {}
+        self._frozen: dict[int, EntryDaemon | Agent] = {}
         self._send = Mailbox._send
         self._flush = Mailbox._flush
 
@@ -43,7 +43,7 @@
         for daemon in tuple(self._frozen.values()):
             self.thaw(daemon)
 
-    def freeze(self, daemon: Entry | Agent) -> None:
+    def freeze(self, daemon: EntryDaemon | Agent) -> None:
         """Let a daemon stand still."""
         mailbox = daemon._mailbox
         if id(mailbox) in self._frozen or mailbox._closed:
@@ -51,7 +51,7 @@
         self._frozen[id(mailbox)] = daemon
         mailbox._loop.remove_reader(mailbox._pull.recv_fd)
 
-    def thaw(self, daemon: Entry | Agent) -> None:
+    def thaw(self, daemon: EntryDaemon | Agent) -> None:
         """Let a daemon go on."""
         mailbox = daemon._mailbox
         if self._frozen.pop(id(mailbox), None) is None or mailbox._closed:
@@ -59,7 +59,7 @@
         mailbox._loop.add_reader(mailbox._pull.recv_fd, mailbox._receive)
         mailbox._loop.call_soon(mailbox._flush)
 
-    def is_frozen(self, daemon: Entry | Agent) -> bool:
+    def is_frozen(self, daemon: EntryDaemon | Agent) -> bool:
         """Tell whether a daemon stands still."""
         return id(daemon._mailbox) in self._frozen
 
@@ -68,7 +68,7 @@
         """Stand between all mailboxes."""
         network = self
         choose = Runner.pump
-        ticks = {cls: cls._tick for cls in (Entry, Agent)}
+        ticks = {cls: cls._tick for cls in (EntryDaemon, Agent)}
 
         def flush(mailbox: Mailbox) -> None:
             if id(mailbox) not in network._frozen:
@@ -78,7 +78,7 @@
             network.pass_on(mailbox, address, peer, now)
 
         def make_tick(cls: type) -> object:
-            def tick(daemon: Entry | Agent) -> None:
+            def tick(daemon: EntryDaemon | Agent) -> None:
                 if not network.is_frozen(daemon):
                     ticks[cls](daemon)
 
--- a/bench/fuzz/rig.py
+++ b/bench/fuzz/rig.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from eelgrassrack.document.snapshot import Snapshot
-from eelgrassrack.entry.entry import Entry
+from eelgrassrack.entry.entry import EntryDaemon
 from eelgrassrack.standins.engine import Engine
 from eelgrassrack.standins.objects import TableStore
 from eelgrassrack.standins.service import PlainService
@@ -211,7 +211,7 @@
 
     async def kill_entry(self, name: str) -> None:
         """End an entry so that nothing of it goes on, as a dead process."""
-        entry: Entry = self.entries.pop(name)
+        entry: EntryDaemon = self.entries.pop(name)
         self.instances.remove(name)
         self._stores[name].is_dead = True
         entry._mailbox.close()
@@ -219,7 +219,7 @@
         # caller is still there would answer.
         entry._server.stop()
         await entry._server.close_all_connections()
-        for task in (*entry._once._finishing, *entry.core._kept):
+        for task in (*entry._idempotent_runner._finishing, *entry.core._detached):
             task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await entry.kill()
--- a/bench/roles.py
+++ b/bench/roles.py
@@ -126,13 +126,13 @@
 ) -> None:
     """Run one entry."""
     import eelgrassrack.ui  # noqa: F401
-    from eelgrassrack.entry.entry import Entry
+    from eelgrassrack.entry.entry import EntryDaemon
     from eelgrassrack.invariants import Invariants
     from eelgrassrack.settings import EntrySettings
     from eelgrassrack.store.client import HttpObjectStore
     from eelgrassrack.store.platform import HttpInstanceList
 
-    entry = Entry(
+    entry = EntryDaemon(
         settings=EntrySettings(
             name="entry-0",
             domain="d0",
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -22,7 +22,7 @@
 from eelgrassrack.document.parser import parse_document
 from eelgrassrack.document.sections import Domain, DomainState
 from eelgrassrack.document.snapshot import Snapshot
-from eelgrassrack.entry.directory import Directory, Known
+from eelgrassrack.entry.directory import Directory, EndpointRecord
 from eelgrassrack.entry.peers import Peers
 from eelgrassrack.mailbox.codec import decode_parcel, encode_parcel
 from eelgrassrack.mailbox.messages import AnyMessage, Bill, Load, Parcel, Presence
@@ -120,7 +120,7 @@
         self.posts = 0
         self.bytes = 0
         self.instances = make_endpoints(endpoints)
-        self.directory = Directory(lose=lambda agent, reason: None)
+        self.directory = Directory(on_agent_lost=lambda agent, reason: None)
         self.peers = Peers(
             name="entry-000", domain="d0", directory=self.directory, post=self._post
         )
@@ -152,22 +152,24 @@
 
     def take() -> None:
         parcel = decode_parcel(data)
-        known = directory.take_load(
+        endpoint = directory.take_load(
             parcel.messages[0], parcel.address, parcel.incarnation, 0.1
         )
-        peers.tell_agent(known=known, load=load, snapshot=snapshot, quarantined=())
+        peers.refresh_facts(
+            endpoint=endpoint, load=load, snapshot=snapshot, quarantined=()
+        )
 
     return {
         "find_serving us": time_call(find),
         "take load us": time_call(take),
-        "beat us": time_call(functools.partial(peers.beat, presence)),
-        "watch us": time_call(functools.partial(directory.watch, 0.1)),
+        "beat us": time_call(functools.partial(peers.send_heartbeats, presence)),
+        "watch us": time_call(functools.partial(directory.drop_silent, 0.1)),
     }
 
 
 def measure_placement(size: int) -> dict[str, float]:
     """Measure one request's choice among so many endpoints of its pool."""
-    directory = Directory(lose=lambda agent, reason: None)
+    directory = Directory(on_agent_lost=lambda agent, reason: None)
     instances = [
         msgspec.structs.replace(instance, pool=POOL)
         for instance in make_endpoints(size)
@@ -187,7 +189,7 @@
             snapshot=snapshot, version=VERSION, service="", now=0.1
         )
         chosen = placement.choose(
-            candidates=[_describe(known) for known in found],
+            candidates=[_describe(endpoint) for endpoint in found],
             affinity=f"session-{dice.random()}",
             chances=(dice.random(), dice.random()),
             now=0.1,
@@ -200,15 +202,15 @@
     return {"choose us": time_call(choose)}
 
 
-def _describe(known: Known) -> Candidate:
+def _describe(endpoint: EndpointRecord) -> Candidate:
     return Candidate(
-        name=known.name,
-        domain=known.domain,
-        running=known.load.running,
-        queued=known.load.queued,
-        window=known.load.window,
+        name=endpoint.name,
+        domain=endpoint.domain,
+        running=endpoint.load.running,
+        queued=endpoint.load.queued,
+        window=endpoint.load.window,
         reported_age=0.1,
-        local=known.running,
+        local=endpoint.running,
     )
 
 
@@ -216,7 +218,7 @@
     """Measure one change of the instance list at a daemon."""
     instances = (*make_entries(), *make_endpoints(size))
     body = msgspec.json.encode(Listing(version=1, instances=instances))
-    directory = Directory(lose=lambda agent, reason: None)
+    directory = Directory(on_agent_lost=lambda agent, reason: None)
     peers = Peers(
         name="entry-000",
         domain="d0",
@@ -239,18 +241,18 @@
     before = read_own_rss()
     listing = msgspec.json.decode(body, type=Listing)
     decoded = read_own_rss()
-    directory = Directory(lose=lambda agent, reason: None)
+    directory = Directory(on_agent_lost=lambda agent, reason: None)
     directory.take_listing(listing.instances)
     loads = [msgspec.msgpack.encode(make_load(instance)) for instance in instances]
-    known = read_own_rss()
+    listed = read_own_rss()
     for instance, data in zip(instances, loads, strict=True):
         load = msgspec.msgpack.decode(data, type=Load)
         directory.take_load(load, instance.mailbox, f"{instance.name}.1", 0.0)
     heard = read_own_rss()
     return {
         "listing bytes": (decoded - before) / size,
-        "known bytes": (known - decoded - sum(map(len, loads))) / size,
-        "heard bytes": (heard - known) / size,
+        "known bytes": (listed - decoded - sum(map(len, loads))) / size,
+        "heard bytes": (heard - listed) / size,
     }
 
 
@@ -264,8 +266,8 @@
         self.bytes = 0
         self.calls = 0
         # The agents heard of have the facts of the first revision.
-        for known in place.directory.heard:
-            place.peers.send_facts(known=known, snapshot=snapshot, quarantined=())
+        for endpoint in place.directory.reporting:
+            place.peers.send_facts(endpoint=endpoint, snapshot=snapshot, quarantined=())
 
     def announce(self) -> None:
         """Announce a revision that leaves the facts as they were."""
--- a/eelgrassrack/entry/doors.py
+++ b/eelgrassrack/entry/admission.py
@@ -36,18 +36,18 @@
     `ends_at` is when this entry ends, once it was told to stop.
     """
 
-    __slots__ = ("_admission", "_clock", "_directory", "_random", "ends_at")
+    __slots__ = ("_admission", "_clock", "_directory", "_rng", "ends_at")
 
     def __init__(
         self,
         *,
         directory: Directory,
-        chance: random.Random,
+        rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
         self._admission = Admission()
         self._directory = directory
-        self._random = chance
+        self._rng = rng
         self._clock = clock
         self.ends_at = math.inf
 
@@ -98,7 +98,7 @@
             organisation=organisation,
             backlog=backlog,
             now=now,
-            chance=self._random.random(),
+            chance=self._rng.random(),
         )
         match verdict:
             case Admitted():
--- a/eelgrassrack/entry/arrivals.py
+++ b/eelgrassrack/entry/arrivals.py
@@ -93,7 +93,7 @@
         return 1 + len(self.body) // BYTES_A_TOKEN
 
 
-def find_caller(
+def authenticate_caller(
     *, snapshot: Snapshot, authorization: str | None
 ) -> Organisation | CallerError:
     """Return the organisation whose key the header holds."""
--- a/eelgrassrack/entry/callerhandler.py
+++ b/eelgrassrack/entry/callerhandler.py
@@ -11,7 +11,7 @@
 
 from ..document.sections import Organisation
 from .answers import Labels, write_error
-from .arrivals import Terms, find_caller, read_terms
+from .arrivals import Terms, authenticate_caller, read_terms
 from .core import Core
 from .headers import Run
 from .refusals import STOPPING, CallerError, refuse_unavailable, report_unknown
@@ -178,7 +178,7 @@
         if closed is not None:
             return closed
         snapshot = self.core.snapshot
-        found = find_caller(
+        found = authenticate_caller(
             snapshot=snapshot,
             authorization=self.request.headers.get("Authorization"),
         )
--- a/eelgrassrack/entry/channels.py
+++ b/eelgrassrack/entry/channels.py
@@ -51,7 +51,7 @@
 COME_BACK_SECONDS = 1.0
 
 
-class Whole(msgspec.Struct, kw_only=True, frozen=True):
+class Completed(msgspec.Struct, kw_only=True, frozen=True):
     """The attempt ran and its whole answer is here."""
 
     attempt: str
@@ -61,27 +61,27 @@
     bill: Bill | None
 
 
-class NeverRan(msgspec.Struct, kw_only=True, frozen=True):
+class NeverStarted(msgspec.Struct, kw_only=True, frozen=True):
     """The agent vowed that the attempt hasn't started and never will."""
 
     refusal: Refusal
     retry_after: float
 
 
-class Broken(msgspec.Struct, kw_only=True, frozen=True):
+class AttemptFailed(msgspec.Struct, kw_only=True, frozen=True):
     """The attempt started and ended without a whole answer."""
 
     finish: Finish
     reason: str
 
 
-class Lost(msgspec.Struct, kw_only=True, frozen=True):
+class OutcomeUnknown(msgspec.Struct, kw_only=True, frozen=True):
     """Nobody can say whether the attempt ran."""
 
     reason: str
 
 
-Outcome = Whole | NeverRan | Broken | Lost
+Outcome = Completed | NeverStarted | AttemptFailed | OutcomeUnknown
 
 
 class Channel:
@@ -176,7 +176,7 @@
         if self.sink is not None:
             self.sink(piece.data)
         if self._ended is not None:
-            self._finish_if_whole(self._ended, now)
+            self._finish_if_complete(self._ended, now)
 
     def take(self, message: object, now: float) -> None:
         """Take what the agent says of the attempt."""
@@ -190,19 +190,19 @@
             case NotStarted(refusal=refusal, retry_after=retry_after):
                 if self._was_stopped:
                     retry_after = max(retry_after, COME_BACK_SECONDS)
-                self.settle(NeverRan(refusal=refusal, retry_after=retry_after))
+                self.settle(NeverStarted(refusal=refusal, retry_after=retry_after))
             case UnknownAttempt():
-                self.settle(Lost(reason="the agent was restarted"))
+                self.settle(OutcomeUnknown(reason="the agent was restarted"))
             case Ended(finish=Finish.WHOLE):
                 self.begun = True
                 self._ended = message
-                self._finish_if_whole(message, now)
+                self._finish_if_complete(message, now)
             case Ended(finish=Finish.CANCELLED) if self._was_stopped:
                 self.begun = True
                 self._end_cancelled()
             case Ended(finish=finish, reason=reason):
                 self.begun = True
-                self.settle(Broken(finish=finish, reason=reason or finish.value))
+                self.settle(AttemptFailed(finish=finish, reason=reason or finish.value))
 
     def settle(self, outcome: Outcome) -> None:
         """End the attempt for the waiting dispatcher; the first end counts."""
@@ -219,7 +219,7 @@
         elif now >= self.deadline - LAST_WORD:
             self.cancel(now)
         elif now - self.heard_at >= GONE_AFTER and not self.begun:
-            self.settle(Lost(reason="the agent is silent"))
+            self.settle(OutcomeUnknown(reason="the agent is silent"))
         elif now - self.heard_at >= ASK_AFTER and not self.begun:
             self._ask(now)
         elif self._ended is not None and now - self.heard_at >= ASK_AFTER:
@@ -248,9 +248,9 @@
         reason = STOPPING if self.is_shortened else "deadline"
         finish = Finish.CUT if self.is_shortened else Finish.DEADLINE
         if self.begun and self.repeatable:
-            self.settle(Broken(finish=finish, reason=reason))
+            self.settle(AttemptFailed(finish=finish, reason=reason))
         else:
-            self.settle(Lost(reason=reason))
+            self.settle(OutcomeUnknown(reason=reason))
 
     def _ask(self, now: float) -> None:
         if self._asked_at is not None and now - self._asked_at < ASK_AFTER:
@@ -267,15 +267,15 @@
         self._asked_at = now
         self._post(self.address, Resume(attempt=self.attempt, offset=self.expected))
 
-    def _finish_if_whole(self, ended: Ended, now: float) -> None:
+    def _finish_if_complete(self, ended: Ended, now: float) -> None:
         if self.expected < ended.pieces:
             self._ask_for_missing(now)
             return
         if self._hash.hexdigest() != ended.digest:
-            self.settle(Broken(finish=Finish.CUT, reason="digest differs"))
+            self.settle(AttemptFailed(finish=Finish.CUT, reason="digest differs"))
             return
         self.settle(
-            Whole(
+            Completed(
                 attempt=self.attempt,
                 pieces=tuple(self.pieces),
                 status=ended.status,
@@ -366,4 +366,4 @@
         """Settle the attempts of an agent that is gone."""
         for channel in tuple(self._by_attempt.values()):
             if channel.agent == agent:
-                channel.settle(Lost(reason=reason))
+                channel.settle(OutcomeUnknown(reason=reason))
--- a/eelgrassrack/entry/chat.py
+++ b/eelgrassrack/entry/chat.py
@@ -7,15 +7,15 @@
 from ..decisions.stopping import DrainAction
 from ..document.sections import Organisation
 from ..document.snapshot import Snapshot
+from .admission import Door
 from .answers import Labels, Responder, write_chat_body, write_error
 from .arrivals import ChatArrival
-from .doors import Door
 from .identity import Identity
 from .meter import Meter
 from .ratings import Ratings
 from .refusals import CallerError
 from .routes import Route, find_route
-from .steps import Answered, Failed, Request, StepRunner
+from .steps import Request, StepAnswered, StepFailed, StepRunner
 
 
 class ChatFlow:
@@ -28,7 +28,7 @@
         "_identity",
         "_ledger",
         "_meter",
-        "_random",
+        "_rng",
         "_ratings",
         "_steps",
     )
@@ -43,7 +43,7 @@
         meter: Meter,
         ratings: Ratings,
         steps: StepRunner,
-        chance: random.Random,
+        rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
         self._chooser = chooser
@@ -53,7 +53,7 @@
         self._meter = meter
         self._ratings = ratings
         self._steps = steps
-        self._random = chance
+        self._rng = rng
         self._clock = clock
 
     async def answer(
@@ -66,7 +66,7 @@
     ) -> None:
         """Send a request's answer, or the error in its place."""
         request = self._prepare(arrival, organisation, snapshot, responder)
-        if isinstance(request, Failed):
+        if isinstance(request, StepFailed):
             write_error(responder=responder, labels=request.labels, error=request.error)
             return
         try:
@@ -74,9 +74,9 @@
         finally:
             self._door.release(organisation=organisation)
         match result:
-            case Failed(labels=labels, error=error):
+            case StepFailed(labels=labels, error=error):
                 write_error(responder=responder, labels=labels, error=error)
-            case Answered():
+            case StepAnswered():
                 self._deliver(request, result, responder)
 
     def _prepare(
@@ -85,7 +85,7 @@
         organisation: Organisation,
         snapshot: Snapshot,
         responder: Responder,
-    ) -> Request | Failed:
+    ) -> Request | StepFailed:
         labels = Labels(
             request=self._identity.make_request(), revision=snapshot.revision
         )
@@ -93,10 +93,10 @@
             snapshot=snapshot, organisation=organisation, name=arrival.model
         )
         if isinstance(route, CallerError):
-            return Failed(labels=labels, error=route)
+            return StepFailed(labels=labels, error=route)
         admitted = self._admit(arrival, organisation, snapshot, route)
         if isinstance(admitted, CallerError):
-            return Failed(labels=labels, error=admitted)
+            return StepFailed(labels=labels, error=admitted)
         if admitted is DrainAction.HOLD:
             responder.keep_back()
         return Request(
@@ -126,10 +126,12 @@
             ],
         )
 
-    async def _run(self, request: Request, responder: Responder) -> Answered | Failed:
+    async def _run(
+        self, request: Request, responder: Responder
+    ) -> StepAnswered | StepFailed:
         plan = self._plan(request)
         last = len(request.route.steps) - 1
-        best: Answered | None = None
+        best: StepAnswered | None = None
         for index in range(plan.first, last + 1):
             result = await self._steps.run(
                 request=request,
@@ -137,7 +139,7 @@
                 direct=index == last or (plan.direct and index == plan.first),
                 responder=responder,
             )
-            if isinstance(result, Failed):
+            if isinstance(result, StepFailed):
                 # A dearer step that fails leaves the cheaper answer, which
                 # is whole, unless a part of this one went out already.
                 return result if best is None or responder.has_begun else best
@@ -155,12 +157,12 @@
             target=request.organisation.quality_target,
             preference=request.organisation.preference,
             rungs=request.rungs,
-            chance=self._random.random(),
+            chance=self._rng.random(),
             policy=request.snapshot.policy,
         )
 
     async def _is_good_enough(
-        self, request: Request, index: int, answered: Answered
+        self, request: Request, index: int, answered: StepAnswered
     ) -> bool:
         if answered.is_sent:
             return True
@@ -184,7 +186,7 @@
         return isinstance(verdict, Deliver)
 
     def _deliver(
-        self, request: Request, answered: Answered, responder: Responder
+        self, request: Request, answered: StepAnswered, responder: Responder
     ) -> None:
         arrival = request.arrival
         if not request.route.is_cascade or answered.is_sent:
@@ -204,7 +206,7 @@
             bill=answered.whole.bill, wants_usage=arrival.wants_usage
         )
 
-    def _sample(self, request: Request, answered: Answered) -> None:
+    def _sample(self, request: Request, answered: StepAnswered) -> None:
         is_streamed = request.arrival.stream
         if not answered.is_sample or not answered.whole.pieces:
             return
--- a/eelgrassrack/entry/core.py
+++ b/eelgrassrack/entry/core.py
@@ -14,7 +14,7 @@
 from .billing import Billing
 from .chat import ChatFlow
 from .configuration import Configuration
-from .directory import Directory, Known
+from .directory import Directory, EndpointRecord
 from .identity import Identity
 from .meter import Meter
 from .refusals import CallerError, refuse_unavailable
@@ -43,7 +43,7 @@
     """The parts of an entry that serve callers."""
 
     __slots__ = (
-        "_kept",
+        "_detached",
         "billing",
         "chat",
         "configuration",
@@ -88,7 +88,7 @@
         self.lingering = Lingering()
         self.open: set[Caller] = set()
         self.services = services
-        self._kept: set[asyncio.Future] = set()
+        self._detached: set[asyncio.Future] = set()
 
     @property
     def snapshot(self) -> Snapshot:
@@ -122,14 +122,14 @@
     def keep(self, work: Awaitable[None]) -> asyncio.Future:
         """Run work that goes on when its caller goes away."""
         future = asyncio.ensure_future(work)
-        self._kept.add(future)
-        future.add_done_callback(self._kept.discard)
+        self._detached.add(future)
+        future.add_done_callback(self._detached.discard)
         return future
 
     @property
     def is_idle(self) -> bool:
         """Tell whether no request is under way."""
-        return not self.open_requests and not self._kept
+        return not self.open_requests and not self._detached
 
     @property
     def open_requests(self) -> int:
@@ -164,7 +164,9 @@
                 promise.value: count
                 for promise, count in self.invariants.broken.items()
             },
-            endpoints=tuple(_describe_endpoint(known, now) for known in self.directory),
+            endpoints=tuple(
+                _describe_endpoint(endpoint, now) for endpoint in self.directory
+            ),
             versions=self._describe_versions(now),
         )
 
@@ -208,21 +210,23 @@
     return f"{verdict.health.value}: {verdict.signal.value}"
 
 
-def _describe_endpoint(known: Known, now: float) -> EndpointStatus:
-    load = known.load
+def _describe_endpoint(endpoint: EndpointRecord, now: float) -> EndpointStatus:
+    load = endpoint.load
     if load is None:
-        return EndpointStatus(name=known.name, domain=known.domain, pool=known.pool)
+        return EndpointStatus(
+            name=endpoint.name, domain=endpoint.domain, pool=endpoint.pool
+        )
     return EndpointStatus(
-        name=known.name,
-        domain=known.domain,
-        pool=known.pool,
+        name=endpoint.name,
+        domain=endpoint.domain,
+        pool=endpoint.pool,
         serves=load.serves,
         window=load.window,
         running=load.running,
         queued=load.queued,
         cold=load.cold,
-        leaving=known.leaving or load.leaving,
+        leaving=endpoint.leaving or load.leaving,
         engine_up=load.engine_up,
         revision=load.revision,
-        age=now - known.heard_at,
+        age=now - endpoint.heard_at,
     )
--- a/eelgrassrack/entry/daemon.py
+++ b/eelgrassrack/entry/daemon.py
@@ -7,7 +7,7 @@
 from ..settings import EntrySettings
 from ..store.client import HttpObjectStore
 from ..store.platform import HttpInstanceList, RatingClient
-from .entry import Entry
+from .entry import EntryDaemon
 
 
 def run(settings: EntrySettings) -> int:
@@ -20,7 +20,7 @@
     store = HttpObjectStore(url=settings.objects_url, caller=settings.name)
     instances = HttpInstanceList(url=settings.instances_url)
     rating = RatingClient(url=settings.rating_url) if settings.rating_url else None
-    entry = Entry(
+    entry = EntryDaemon(
         settings=settings,
         store=store,
         instances=instances,
--- a/eelgrassrack/entry/directory.py
+++ b/eelgrassrack/entry/directory.py
@@ -34,7 +34,7 @@
     ENGINES_DOWN = "engines_down"
 
 
-class Known:
+class EndpointRecord:
     """One endpoint: its place and its agent's last heartbeat.
 
     `address` is where its agent was heard last, `listed_address` where the
@@ -83,30 +83,30 @@
     tick has to look at all others.
     """
 
-    __slots__ = ("_by_name", "_heard", "_lose")
+    __slots__ = ("_by_name", "_reporting", "_on_agent_lost")
 
-    def __init__(self, *, lose: Callable[[str, str], None]) -> None:
-        """Call `lose(agent, reason)` when an incarnation is gone."""
-        self._by_name: dict[str, Known] = {}
-        self._heard: dict[str, Known] = {}
-        self._lose = lose
+    def __init__(self, *, on_agent_lost: Callable[[str, str], None]) -> None:
+        """Call `on_agent_lost(agent, reason)` when an incarnation is gone."""
+        self._by_name: dict[str, EndpointRecord] = {}
+        self._reporting: dict[str, EndpointRecord] = {}
+        self._on_agent_lost = on_agent_lost
 
-    def __iter__(self) -> Iterator[Known]:
+    def __iter__(self) -> Iterator[EndpointRecord]:
         """Iterate over all known endpoints."""
         return iter(tuple(self._by_name.values()))
 
     @property
-    def heard(self) -> tuple[Known, ...]:
+    def reporting(self) -> tuple[EndpointRecord, ...]:
         """Return the endpoints whose agents beat."""
-        return tuple(self._heard.values())
+        return tuple(self._reporting.values())
 
-    def find(self, name: str) -> Known | None:
+    def find(self, name: str) -> EndpointRecord | None:
         """Return an endpoint by name."""
         return self._by_name.get(name)
 
-    def find_address(self, address: str) -> Known | None:
+    def find_address(self, address: str) -> EndpointRecord | None:
         """Return the endpoint whose agent listens at an address."""
-        matches = (known for known in self if known.address == address)
+        matches = (endpoint for endpoint in self if endpoint.address == address)
         return next(matches, None)
 
     def take_listing(self, instances: Iterable[Instance]) -> None:
@@ -118,45 +118,47 @@
             # The list lags and has gaps; an agent that still beats is
             # left to end its work but gets nothing new.
             self._by_name[name].is_listed = False
-            if name not in self._heard:
+            if name not in self._reporting:
                 del self._by_name[name]
 
-    def take_load(self, load: Load, address: str, agent: str, now: float) -> Known:
+    def take_load(
+        self, load: Load, address: str, agent: str, now: float
+    ) -> EndpointRecord:
         """Note an agent's heartbeat."""
-        known = self._by_name.get(load.endpoint)
-        if known is None:
-            known = Known(
+        endpoint = self._by_name.get(load.endpoint)
+        if endpoint is None:
+            endpoint = EndpointRecord(
                 name=load.endpoint,
                 domain=load.domain,
                 pool=load.pool,
                 address=address,
             )
-            self._by_name[load.endpoint] = known
-        if known.agent and known.agent != agent:
-            log.info("directory: agent restarted: {}", known.name)
-            self._lose(known.agent, "the agent was restarted")
-        self._heard[known.name] = known
-        known.agent = agent
-        known.address = address
-        known.load = load
-        known.heard_at = now
-        return known
-
-    def watch(self, now: float) -> None:
+            self._by_name[load.endpoint] = endpoint
+        if endpoint.agent and endpoint.agent != agent:
+            log.info("directory: agent restarted: {}", endpoint.name)
+            self._on_agent_lost(endpoint.agent, "the agent was restarted")
+        self._reporting[endpoint.name] = endpoint
+        endpoint.agent = agent
+        endpoint.address = address
+        endpoint.load = load
+        endpoint.heard_at = now
+        return endpoint
+
+    def drop_silent(self, now: float) -> None:
         """Give up the work of agents that are silent for long."""
-        for known in self.heard:
-            if now - known.heard_at <= GONE_AFTER:
+        for endpoint in self.reporting:
+            if now - endpoint.heard_at <= GONE_AFTER:
                 continue
-            log.info("directory: agent silent: {}", known.name)
-            self._lose(known.agent, "the agent is silent")
-            known.agent = ""
-            del self._heard[known.name]
-            if not known.is_listed:
-                del self._by_name[known.name]
+            log.info("directory: agent silent: {}", endpoint.name)
+            self._on_agent_lost(endpoint.agent, "the agent is silent")
+            endpoint.agent = ""
+            del self._reporting[endpoint.name]
+            if not endpoint.is_listed:
+                del self._by_name[endpoint.name]
 
     def find_serving(
         self, *, snapshot: Snapshot, version: str, service: str, now: float
-    ) -> list[Known] | Absence:
+    ) -> list[EndpointRecord] | Absence:
         """Return the endpoints that may get the request now.
 
         The document decides what a pool serves; an agent's own report
@@ -168,17 +170,17 @@
             if (version and version in pool.serves)
             or (service and service == pool.service)
         }
-        heard = [known for known in self.heard if known.pool in pools]
+        heard = [endpoint for endpoint in self.reporting if endpoint.pool in pools]
         found = self._narrow(heard, snapshot, now)
         if not isinstance(found, Absence):
             return found
         # Only the list can tell why there is none.
-        listed = [known for known in self if known.pool in pools]
+        listed = [endpoint for endpoint in self if endpoint.pool in pools]
         return self._narrow(listed, snapshot, now)
 
     def _narrow(
-        self, found: list[Known], snapshot: Snapshot, now: float
-    ) -> list[Known] | Absence:
+        self, found: list[EndpointRecord], snapshot: Snapshot, now: float
+    ) -> list[EndpointRecord] | Absence:
         if not found:
             return Absence.NONE_KNOWN
         found = [k for k in found if snapshot.is_domain_in(domain=k.domain)]
@@ -193,25 +195,25 @@
         found = [k for k in found if k.load.engine_up]
         return found or Absence.ENGINES_DOWN
 
-    def _is_staying(self, known: Known, snapshot: Snapshot) -> bool:
-        if known.leaving or not known.is_listed:
+    def _is_staying(self, endpoint: EndpointRecord, snapshot: Snapshot) -> bool:
+        if endpoint.leaving or not endpoint.is_listed:
             return False
-        if known.load is not None and known.load.leaving:
+        if endpoint.load is not None and endpoint.load.leaving:
             return False
-        return snapshot.is_endpoint_in(endpoint=known.name)
+        return snapshot.is_endpoint_in(endpoint=endpoint.name)
 
     def _take_instance(self, name: str, instance: Instance) -> None:
-        known = self._by_name.get(name)
-        if known is None:
-            known = Known(
+        endpoint = self._by_name.get(name)
+        if endpoint is None:
+            endpoint = EndpointRecord(
                 name=name,
                 domain=instance.domain,
                 pool=instance.pool,
                 address=instance.mailbox,
             )
-            self._by_name[name] = known
-        known.listed_address = instance.mailbox
-        known.domain = instance.domain
-        known.pool = instance.pool
-        known.leaving = instance.leaving
-        known.is_listed = True
+            self._by_name[name] = endpoint
+        endpoint.listed_address = instance.mailbox
+        endpoint.domain = instance.domain
+        endpoint.pool = instance.pool
+        endpoint.leaving = instance.leaving
+        endpoint.is_listed = True
--- a/eelgrassrack/entry/dispatcher.py
+++ b/eelgrassrack/entry/dispatcher.py
@@ -17,16 +17,16 @@
 from ..invariants import Invariants, Promise
 from ..mailbox.messages import Crash, Finish, Refusal
 from .channels import (
-    Broken,
+    AttemptFailed,
     Channel,
     Channels,
-    Lost,
-    NeverRan,
+    Completed,
+    NeverStarted,
     Outcome,
+    OutcomeUnknown,
     Sink,
-    Whole,
 )
-from .directory import Known
+from .directory import EndpointRecord
 from .headers import Run
 from .identity import Identity
 from .jobs import Dispatched, Job, Placed, Reserve, build_start
@@ -106,11 +106,11 @@
         tried: list[str] = []
         last: Dispatched | None = None
         while True:
-            known = self._picker.choose(job=job, tried=tried)
+            endpoint = self._picker.choose(job=job, tried=tried)
             standing = self._suspects.judge(fingerprint=job.fingerprint)
-            refused = self._find_refusal(job, known, standing)
+            refused = self._find_refusal(job, endpoint, standing)
             if refused is None:
-                placed = self._place(known)
+                placed = self._place(endpoint)
                 refused = await reserve(placed) if reserve else None
             if refused is not None:
                 # What an earlier attempt came to is the truth to be told:
@@ -118,21 +118,21 @@
                 return refused if last is None else last
             alone = isinstance(standing, RunAlone)
             channel = self._start(job, placed, sink, keeps, alone)
-            outcome = await self._follow(channel, known)
+            outcome = await self._follow(channel, endpoint)
             self._note_suspect(job, outcome, placed, alone)
-            tried.append(known.name)
-            last = _keep_truth(last, Dispatched(outcome=outcome, placed=placed))
+            tried.append(endpoint.name)
+            last = _select_result(last, Dispatched(outcome=outcome, placed=placed))
             if not self._may_retry(job, outcome, channel, len(tried)):
                 return last
             self._meter.note_retry()
 
     def _find_refusal(
-        self, job: Job, known: Known | CallerError, standing: object
+        self, job: Job, endpoint: EndpointRecord | CallerError, standing: object
     ) -> CallerError | None:
         """Return why no attempt is sent now, if none is."""
         if self._is_withdrawn(job):
             return refuse_withdrawn()
-        found = (one for one in (known, standing) if isinstance(one, CallerError))
+        found = (one for one in (endpoint, standing) if isinstance(one, CallerError))
         return next(found, None)
 
     def _is_withdrawn(self, job: Job) -> bool:
@@ -140,12 +140,12 @@
         current = self._find_snapshot()
         return bool(job.version) and not current.is_active(version=job.version)
 
-    def _place(self, known: Known) -> Placed:
+    def _place(self, endpoint: EndpointRecord) -> Placed:
         return Placed(
             attempt=self._identity.make_attempt(),
-            endpoint=known.name,
-            agent=known.agent,
-            address=known.address,
+            endpoint=endpoint.name,
+            agent=endpoint.agent,
+            address=endpoint.address,
         )
 
     def _start(
@@ -182,7 +182,7 @@
     ) -> None:
         """Heed a crash at once; the agent's own report may come later."""
         match outcome:
-            case Broken(finish=Finish.ENGINE_CRASHED):
+            case AttemptFailed(finish=Finish.ENGINE_CRASHED):
                 self._suspects.take_crash(
                     Crash(
                         endpoint=placed.endpoint,
@@ -208,9 +208,9 @@
             f"{job.version} at revision {job.snapshot.revision}",
         )
 
-    async def _follow(self, channel: Channel, known: Known) -> Outcome:
+    async def _follow(self, channel: Channel, endpoint: EndpointRecord) -> Outcome:
         began = self._loop.time()
-        self._picker.note_sent(known)
+        self._picker.note_sent(endpoint)
         outcome: Outcome | None = None
         try:
             outcome = await channel.outcome
@@ -220,7 +220,10 @@
                 # The caller went away: nobody waits for the answer.
                 channel.cancel(self._loop.time())
             self._picker.note_end(
-                known=known, outcome=outcome, first_at=channel.first_at, began=began
+                endpoint=endpoint,
+                outcome=outcome,
+                first_at=channel.first_at,
+                began=began,
             )
         return outcome
 
@@ -228,18 +231,18 @@
         self, job: Job, outcome: Outcome, channel: Channel, tries: int
     ) -> bool:
         match outcome:
-            case Whole():
+            case Completed():
                 self._budget.note_success()
                 return False
-            case NeverRan(refusal=refusal):
+            case NeverStarted(refusal=refusal):
                 if refusal in FINAL_REFUSALS:
                     return False
                 standing = Standing.NOT_STARTED
-            case Broken(finish=Finish.DEADLINE | Finish.CANCELLED):
+            case AttemptFailed(finish=Finish.DEADLINE | Finish.CANCELLED):
                 return False
-            case Broken():
+            case AttemptFailed():
                 standing = Standing.FAILED
-            case Lost():
+            case OutcomeUnknown():
                 standing = Standing.UNKNOWN
         verdict = self._budget.judge(
             outcome=standing,
@@ -263,15 +266,15 @@
 )
 
 
-def _keep_truth(last: Dispatched | None, new: Dispatched) -> Dispatched:
+def _select_result(last: Dispatched | None, new: Dispatched) -> Dispatched:
     """Return which of two attempts' ends is true of the whole step.
 
     An attempt that failed is followed by another one, and that one may be
     refused.  Its "not run" is true of itself only: the caller would be told
     so of a request that has run, which shows at the engines' logs.
     """
-    is_refused = isinstance(new.outcome, NeverRan)
-    if is_refused and last is not None and not isinstance(last.outcome, NeverRan):
+    is_refused = isinstance(new.outcome, NeverStarted)
+    if is_refused and last is not None and not isinstance(last.outcome, NeverStarted):
         return last
     return new
 
@@ -280,4 +283,4 @@
     """Tell whether a step has run, or may have."""
     if isinstance(end, CallerError):
         return end.run is not Run.NOT_RUN
-    return not isinstance(end.outcome, NeverRan)
+    return not isinstance(end.outcome, NeverStarted)
--- a/eelgrassrack/entry/entry.py
+++ b/eelgrassrack/entry/entry.py
@@ -60,11 +60,11 @@
 MOST_BODY_BYTES = 3_500_000
 
 
-class Entry:
+class EntryDaemon:
     """One entry: HTTP towards callers, messages towards agents."""
 
     __slots__ = (
-        "_beat_at",
+        "_heartbeat_at",
         "_configuration",
         "_ends_at",
         "_hurry",
@@ -75,7 +75,7 @@
         "_mailbox",
         "_meter",
         "_metrics",
-        "_once",
+        "_idempotent_runner",
         "_peers",
         "_server",
         "_serving",
@@ -99,11 +99,11 @@
         instances: InstanceList,
         rating: RatingClient | None = None,
         invariants: Invariants | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self.invariants = invariants or Invariants()
         self.port = 0
-        self._beat_at = float("-inf")
+        self._heartbeat_at = float("-inf")
         self._ends_at = math.inf
         self._hurry = asyncio.Event()
         self._instances = instances
@@ -120,7 +120,7 @@
             incarnation=make_incarnation(name=settings.name),
             deliver=self.deliver,
         )
-        self._build(rating, chance or random.Random(secrets.randbits(64)))
+        self._build(rating, rng or random.Random(secrets.randbits(64)))
 
     @property
     def address(self) -> str:
@@ -138,10 +138,10 @@
         host = self._settings.listen.rpartition(":")[0]
         return f"http://{host}:{self.port}"
 
-    def _build(self, rating: RatingClient | None, chance: random.Random) -> None:
+    def _build(self, rating: RatingClient | None, rng: random.Random) -> None:
         clock = self._loop.time
         self.channels = Channels(invariants=self.invariants)
-        self.directory = Directory(lose=self._lose_agent)
+        self.directory = Directory(on_agent_lost=self._lose_agent)
         self._peers = Peers(
             name=self._settings.name,
             domain=self._settings.domain,
@@ -166,7 +166,7 @@
         )
         self._serving = Serving(
             billing=self.billing,
-            chance=chance,
+            rng=rng,
             channels=self.channels,
             clock=clock,
             configuration=self._configuration,
@@ -181,7 +181,7 @@
             suspects=self._suspects,
         )
         self.core = self._serving.core
-        self._once = self._serving.once
+        self._idempotent_runner = self._serving.idempotent_runner
         self._inbox = Inbox(
             billing=self.billing,
             channels=self.channels,
@@ -215,7 +215,7 @@
         self.core.is_draining = True
         self._end_by(self._loop.time() + self._settings.grace_seconds)
         self._peers.leaving = True
-        self._beat()
+        self._send_heartbeats()
         began = self._loop.time()
         while not self._may_close(self._loop.time() - began):
             await asyncio.sleep(DRAIN_POLL_SECONDS)
@@ -291,7 +291,7 @@
     def _announce(self, snapshot: Snapshot) -> None:
         self._serving.note_domains(snapshot)
         self._peers.announce(snapshot=snapshot, quarantined=self._suspects.quarantined)
-        self._beat()
+        self._send_heartbeats()
 
     def _price(self, bill: Bill) -> int:
         version = self._configuration.snapshot.versions.get(bill.version)
@@ -314,19 +314,19 @@
         )
         self._server.add_sockets(self._listeners)
 
-    def _beat(self) -> None:
-        self._beat_at = self._loop.time()
-        self._peers.beat(self._inbox.build_presence())
+    def _send_heartbeats(self) -> None:
+        self._heartbeat_at = self._loop.time()
+        self._peers.send_heartbeats(self._inbox.build_presence())
 
     def _tick(self) -> None:
         now = self._loop.time()
         self._configuration.tick()
         self.channels.watch(now)
-        if now - self._beat_at < BEAT_SECONDS:
+        if now - self._heartbeat_at < BEAT_SECONDS:
             return
-        self.directory.watch(now)
+        self.directory.drop_silent(now)
         self._mailbox.forget_idle()
-        self._beat()
+        self._send_heartbeats()
         self._measure()
 
     def _measure(self) -> None:
@@ -360,7 +360,7 @@
     def _take_listing(self, instances: tuple[Instance, ...]) -> None:
         self.directory.take_listing(instances)
         self._peers.take_listing(instances)
-        self._beat()
+        self._send_heartbeats()
 
     def _may_close(self, waited: float) -> bool:
         if self._hurry.is_set() or waited >= self._settings.grace_seconds:
--- a/eelgrassrack/entry/once.py
+++ b/eelgrassrack/entry/idempotency.py
@@ -14,15 +14,22 @@
 
 from ..store.claim import ClaimState, make_claim_name
 from ..store.claims import Claims, ClaimUnavailable, ExistingClaim
-from .channels import Broken, Channels, Lost, NeverRan, Outcome, Whole
+from .channels import (
+    AttemptFailed,
+    Channels,
+    Completed,
+    NeverStarted,
+    Outcome,
+    OutcomeUnknown,
+)
 from .directory import Directory
 from .dispatcher import Dispatcher
-from .followers import Follower
 from .headers import Run
 from .jobs import Dispatched, Job
-from .keeper import Keeper
+from .observers import AttemptObserver
 from .outcomes import judge_outcome
 from .refusals import CallerError, report_unknown
+from .requestclaim import RequestClaim
 
 log = logbook.Logger("once")
 
@@ -51,7 +58,7 @@
     held: ExistingClaim
 
 
-class Once:
+class IdempotentRunner:
     """Run a request at most once for each idempotency key."""
 
     __slots__ = (
@@ -84,20 +91,26 @@
         self._loop = asyncio.get_running_loop()
         self._post = post
 
-    async def run(self, *, job: Job, operation: str, key: str) -> Whole | CallerError:
+    async def run(
+        self, *, job: Job, operation: str, key: str
+    ) -> Completed | CallerError:
         """Run the job unless its key has been run, and return the outcome."""
         name = make_claim_name(
             organisation=job.organisation, operation=operation, key=key
         )
-        keeper = Keeper(claims=self._claims, name=name, entry=self._entry, job=job)
+        request_claim = RequestClaim(
+            claims=self._claims, name=name, entry=self._entry, job=job
+        )
         for _ in range(MOST_ROUNDS):
-            dispatched = await self._dispatcher.run(job=job, reserve=keeper.reserve)
-            if keeper.held is None:
-                return await self._end(keeper, dispatched)
-            verdict = await self._answer_resend(job, keeper)
+            dispatched = await self._dispatcher.run(
+                job=job, reserve=request_claim.reserve
+            )
+            if request_claim.held is None:
+                return await self._end(request_claim, dispatched)
+            verdict = await self._answer_resend(job, request_claim)
             if not isinstance(verdict, Free):
                 return verdict
-            keeper.free(verdict.held)
+            request_claim.free(verdict.held)
         return _report_in_progress()
 
     async def stop(self) -> None:
@@ -110,34 +123,34 @@
         await asyncio.gather(*late, return_exceptions=True)
 
     async def _end(
-        self, keeper: Keeper, dispatched: Dispatched | CallerError
-    ) -> Whole | CallerError:
+        self, request_claim: RequestClaim, dispatched: Dispatched | CallerError
+    ) -> Completed | CallerError:
         never_ran = isinstance(dispatched, CallerError) or isinstance(
-            dispatched.outcome, NeverRan
+            dispatched.outcome, NeverStarted
         )
         if never_ran:
-            if keeper.claim is not None:
-                await keeper.release()
+            if request_claim.claim is not None:
+                await request_claim.release()
             return judge_outcome(dispatched)
-        await self._record(keeper, dispatched.outcome)
+        await self._record(request_claim, dispatched.outcome)
         return _judge(dispatched.outcome)
 
-    async def _record(self, keeper: Keeper, outcome: Outcome) -> None:
+    async def _record(self, request_claim: RequestClaim, outcome: Outcome) -> None:
         """Put an outcome on record; if the store is away, go on behind."""
-        result = await _finish(keeper, outcome)
+        result = await _finish(request_claim, outcome)
         if not isinstance(result, ClaimUnavailable):
             return
         # The caller gets its answer now.  Until the record stands, a
         # resend learns from the agent that the attempt has started.
-        task = asyncio.create_task(_keep_finishing(keeper, outcome))
+        task = asyncio.create_task(_keep_finishing(request_claim, outcome))
         self._finishing.add(task)
         task.add_done_callback(self._finishing.discard)
 
     async def _answer_resend(
-        self, job: Job, keeper: Keeper
-    ) -> Whole | CallerError | Free:
-        held = keeper.held
-        if not keeper.is_same_request:
+        self, job: Job, request_claim: RequestClaim
+    ) -> Completed | CallerError | Free:
+        held = request_claim.held
+        if not request_claim.is_same_request:
             return _refuse_reuse()
         match held.claim.state:
             case ClaimState.DONE if held.claim.answer_kept:
@@ -148,11 +161,11 @@
                 return Free(held=held)
         outcome = await self._follow(job, held)
         match outcome:
-            case NeverRan():
+            case NeverStarted():
                 return Free(held=held)
-            case Whole():
-                keeper.adopt(held)
-                await self._record(keeper, outcome)
+            case Completed():
+                request_claim.adopt(held)
+                await self._record(request_claim, outcome)
         return _judge(outcome)
 
     async def _follow(self, job: Job, held: ExistingClaim) -> Outcome:
@@ -161,16 +174,16 @@
         own = self._channels.find(claim.attempt)
         if own is not None:
             return await self._wait(own.outcome, job)
-        known = self._directory.find(claim.endpoint)
-        if known is None or known.agent != claim.agent:
+        endpoint = self._directory.find(claim.endpoint)
+        if endpoint is None or endpoint.agent != claim.agent:
             # The only process that knew is gone.  To run the request again
             # could run it twice, so the caller is told the truth.
-            return Lost(reason="the outcome of the first run is unknown")
-        follower = Follower(
+            return OutcomeUnknown(reason="the outcome of the first run is unknown")
+        follower = AttemptObserver(
             attempt=claim.attempt,
             endpoint=claim.endpoint,
             agent=claim.agent,
-            address=known.address,
+            address=endpoint.address,
             deadline=job.deadline,
             now=self._loop.time(),
             post=self._post,
@@ -188,43 +201,43 @@
             async with asyncio.timeout(left):
                 return await asyncio.shield(outcome)
         except TimeoutError:
-            return Lost(reason="the first run has not ended")
+            return OutcomeUnknown(reason="the first run has not ended")
 
 
-async def _finish(keeper: Keeper, outcome: Outcome) -> object:
+async def _finish(request_claim: RequestClaim, outcome: Outcome) -> object:
     match outcome:
-        case Whole(status=status, headers=fields, pieces=pieces):
-            return await keeper.finish(
+        case Completed(status=status, headers=fields, pieces=pieces):
+            return await request_claim.finish(
                 state=ClaimState.DONE,
                 status=status,
                 fields=fields,
                 answer=b"".join(pieces),
             )
     # A connection that broke tells nothing of what the service did.
-    return await keeper.finish(state=ClaimState.UNKNOWN)
+    return await request_claim.finish(state=ClaimState.UNKNOWN)
 
 
-async def _keep_finishing(keeper: Keeper, outcome: Outcome) -> None:
+async def _keep_finishing(request_claim: RequestClaim, outcome: Outcome) -> None:
     delay = FIRST_DELAY
     for _ in range(FINISH_TRIES):
         await asyncio.sleep(delay)
         delay = min(delay * 2, LONGEST_DELAY)
-        result = await _finish(keeper, outcome)
+        result = await _finish(request_claim, outcome)
         if not isinstance(result, ClaimUnavailable):
             return
-    log.warning("once: the outcome of {} is not on record", keeper.claim.attempt)
+    log.warning("once: the outcome of {} is not on record", request_claim.claim.attempt)
 
 
-def _judge(outcome: Outcome) -> Whole | CallerError:
+def _judge(outcome: Outcome) -> Completed | CallerError:
     """Return the answer; without one nobody knows what the service did."""
-    if isinstance(outcome, Broken):
+    if isinstance(outcome, AttemptFailed):
         return report_unknown(reason=outcome.reason)
     return judge_outcome(Dispatched(outcome=outcome))
 
 
-def _read_answer(held: ExistingClaim) -> Whole:
+def _read_answer(held: ExistingClaim) -> Completed:
     claim = held.claim
-    return Whole(
+    return Completed(
         attempt=claim.attempt,
         pieces=(claim.answer,),
         status=claim.status,
--- a/eelgrassrack/entry/inbox.py
+++ b/eelgrassrack/entry/inbox.py
@@ -121,19 +121,21 @@
         self._channels.take(message, parcel.incarnation, now)
 
     def _take_load(self, load: Load, parcel: Parcel, now: float) -> None:
-        known = self._directory.take_load(load, parcel.address, parcel.incarnation, now)
-        self._peers.tell_agent(
-            known=known,
+        endpoint = self._directory.take_load(
+            load, parcel.address, parcel.incarnation, now
+        )
+        self._peers.refresh_facts(
+            endpoint=endpoint,
             load=load,
             snapshot=self._configuration.snapshot,
             quarantined=self._suspects.quarantined,
         )
 
     def _answer_hello(self, question: int, parcel: Parcel) -> None:
-        known = self._directory.find_address(parcel.address)
-        if known is not None:
+        endpoint = self._directory.find_address(parcel.address)
+        if endpoint is not None:
             self._peers.send_facts(
-                known=known,
+                endpoint=endpoint,
                 snapshot=self._configuration.snapshot,
                 quarantined=self._suspects.quarantined,
             )
--- a/eelgrassrack/entry/followers.py
+++ b/eelgrassrack/entry/observers.py
@@ -1,10 +1,10 @@
 """Channels to attempts that another entry dispatched."""
 
 from ..mailbox.messages import Ask, Resume
-from .channels import ASK_AFTER, GONE_AFTER, Channel, Lost
+from .channels import ASK_AFTER, GONE_AFTER, Channel, OutcomeUnknown
 
 
-class Follower(Channel):
+class AttemptObserver(Channel):
     """Learn the outcome of an attempt without any power over it."""
 
     __slots__ = ()
@@ -24,9 +24,9 @@
         if self.outcome.done():
             return
         if now >= self.deadline:
-            self.settle(Lost(reason="the first run has not ended"))
+            self.settle(OutcomeUnknown(reason="the first run has not ended"))
         elif now - self.heard_at >= GONE_AFTER:
-            self.settle(Lost(reason="the agent is silent"))
+            self.settle(OutcomeUnknown(reason="the agent is silent"))
         elif self._asked_at is None or now - self._asked_at >= ASK_AFTER:
             self.ask(now)
 
--- a/eelgrassrack/entry/outcomes.py
+++ b/eelgrassrack/entry/outcomes.py
@@ -1,7 +1,7 @@
 """What a caller is told for each way an attempt can end."""
 
 from ..mailbox.messages import Finish, Refusal
-from .channels import Broken, Lost, NeverRan, Whole
+from .channels import AttemptFailed, Completed, NeverStarted, OutcomeUnknown
 from .headers import Run
 from .jobs import Dispatched
 from .refusals import (
@@ -17,23 +17,23 @@
 TIMED_OUT = 504
 
 
-def judge_outcome(dispatched: Dispatched | CallerError) -> Whole | CallerError:
+def judge_outcome(dispatched: Dispatched | CallerError) -> Completed | CallerError:
     """Return the whole answer, or what to tell the caller instead."""
     if isinstance(dispatched, CallerError):
         return dispatched
     match dispatched.outcome:
-        case Whole() as whole:
+        case Completed() as whole:
             return whole
-        case NeverRan(refusal=refusal, retry_after=retry_after):
+        case NeverStarted(refusal=refusal, retry_after=retry_after):
             return refuse_by_agent(refusal=refusal, retry_after=retry_after)
-        case Broken(finish=Finish.DEADLINE | Finish.CANCELLED):
+        case AttemptFailed(finish=Finish.DEADLINE | Finish.CANCELLED):
             # The entry withdraws what runs just before its deadline, and only
             # then, unless its caller has gone and nobody is told anything.  Told
             # of a failed endpoint, the caller would send it again in vain.
             return _report_late()
-        case Broken(reason=reason):
+        case AttemptFailed(reason=reason):
             return report_broken(reason=reason)
-        case Lost(reason=reason):
+        case OutcomeUnknown(reason=reason):
             return report_unknown(reason=reason)
 
 
--- a/eelgrassrack/entry/peers.py
+++ b/eelgrassrack/entry/peers.py
@@ -23,7 +23,7 @@
     WantDocument,
 )
 from ..store.instances import Instance, Role
-from .directory import Directory, Known
+from .directory import Directory, EndpointRecord
 
 log = logbook.Logger("peers")
 
@@ -123,45 +123,54 @@
             answers=answers,
         )
 
-    def beat(self, presence: Presence) -> None:
+    def send_heartbeats(self, presence: Presence) -> None:
         """Send a heartbeat to the neighbours and the agents worked with."""
         for address in self.addresses:
             self._post(address, presence)
-        for known in self._directory:
-            if known.name in self._subset or known.running:
+        for endpoint in self._directory:
+            if endpoint.name in self._subset or endpoint.running:
                 # An agent that came back elsewhere doesn't know this entry
                 # yet, and says nothing to it until it is greeted.
-                for address in {known.address, known.listed_address}:
+                for address in {endpoint.address, endpoint.listed_address}:
                     self._post(address, presence)
 
-    def tell_agent(
-        self, *, known: Known, load: Load, snapshot: Snapshot, quarantined: tuple
+    def refresh_facts(
+        self,
+        *,
+        endpoint: EndpointRecord,
+        load: Load,
+        snapshot: Snapshot,
+        quarantined: tuple,
     ) -> None:
         """Send an agent the document's facts if it lacks this revision."""
         if load.revision >= snapshot.revision:
             return
-        held = self._find_facts(known.pool, snapshot, quarantined)
+        held = self._find_facts(endpoint.pool, snapshot, quarantined)
         if load.revision >= held.since:
             kept = FactsKept(revision=snapshot.revision, since=held.since)
-            self._post(known.address, kept)
+            self._post(endpoint.address, kept)
             return
-        self._post(known.address, held.facts)
+        self._post(endpoint.address, held.facts)
 
     def send_facts(
-        self, *, known: Known, snapshot: Snapshot, quarantined: tuple[str, ...]
+        self,
+        *,
+        endpoint: EndpointRecord,
+        snapshot: Snapshot,
+        quarantined: tuple[str, ...],
     ) -> None:
         """Send an agent the facts of the document in force, if there is one."""
         if not snapshot.revision:
             return
-        held = self._find_facts(known.pool, snapshot, quarantined)
-        self._post(known.address, held.facts)
+        held = self._find_facts(endpoint.pool, snapshot, quarantined)
+        self._post(endpoint.address, held.facts)
 
     def announce(self, *, snapshot: Snapshot, quarantined: tuple) -> None:
         """Tell all agents heard of what a new revision means to them."""
-        for known in self._directory.heard:
-            self.tell_agent(
-                known=known,
-                load=known.load,
+        for endpoint in self._directory.reporting:
+            self.refresh_facts(
+                endpoint=endpoint,
+                load=endpoint.load,
                 snapshot=snapshot,
                 quarantined=quarantined,
             )
@@ -190,9 +199,9 @@
         message = Quarantined(fingerprints=fingerprints)
         for address in self.addresses:
             self._post(address, message)
-        for known in self._directory:
-            if known.agent:
-                self._post(known.address, message)
+        for endpoint in self._directory:
+            if endpoint.agent:
+                self._post(endpoint.address, message)
 
     def ask_one(self, address: str, revision: int) -> None:
         """Ask one entry for a document newer than this revision."""
--- a/eelgrassrack/entry/picker.py
+++ b/eelgrassrack/entry/picker.py
@@ -10,8 +10,8 @@
 from ..decisions.domains import DomainRamp
 from ..decisions.placement import Candidate, NoCandidate, Placement
 from ..mailbox.messages import Finish, Refusal
-from .channels import Broken, NeverRan, Outcome, Whole
-from .directory import Absence, Directory, Known
+from .channels import AttemptFailed, Completed, NeverStarted, Outcome
+from .directory import Absence, Directory, EndpointRecord
 from .jobs import Job
 from .refusals import CallerError, refuse_unavailable
 
@@ -27,7 +27,7 @@
 class Picker:
     """Pick endpoints for one entry."""
 
-    __slots__ = ("_clock", "_directory", "_placement", "_ramp", "_random")
+    __slots__ = ("_clock", "_directory", "_placement", "_ramp", "_rng")
 
     def __init__(
         self,
@@ -35,16 +35,16 @@
         directory: Directory,
         placement: Placement,
         ramp: DomainRamp,
-        chance: random.Random,
+        rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
         self._clock = clock
         self._directory = directory
         self._placement = placement
         self._ramp = ramp
-        self._random = chance
+        self._rng = rng
 
-    def choose(self, *, job: Job, tried: list[str]) -> Known | CallerError:
+    def choose(self, *, job: Job, tried: list[str]) -> EndpointRecord | CallerError:
         """Return an endpoint that may get the job now, or why there is none."""
         now = self._clock()
         found = self._directory.find_serving(
@@ -53,12 +53,12 @@
         if isinstance(found, Absence):
             return self._refuse_absent(found.value)
         # An endpoint that was tried comes again only when it is the last.
-        fresh = [known for known in found if known.name not in tried] or found
+        fresh = [endpoint for endpoint in found if endpoint.name not in tried] or found
         fresh = self._heed_ramp(fresh, now)
         chosen = self._placement.choose(
-            candidates=[self._describe(known, now) for known in fresh],
+            candidates=[self._describe(endpoint, now) for endpoint in fresh],
             affinity=job.affinity or None,
-            chances=(self._random.random(), self._random.random()),
+            chances=(self._rng.random(), self._rng.random()),
             now=now,
         )
         if isinstance(chosen, NoCandidate):
@@ -66,40 +66,42 @@
         return self._directory.find(chosen.name)
 
     def _refuse_absent(self, reason: str) -> CallerError:
-        spread = 0.5 + self._random.random()
+        spread = 0.5 + self._rng.random()
         return refuse_unavailable(reason=reason, retry_after=NO_ENDPOINT_RETRY * spread)
 
-    def _heed_ramp(self, found: list[Known], now: float) -> list[Known]:
+    def _heed_ramp(
+        self, found: list[EndpointRecord], now: float
+    ) -> list[EndpointRecord]:
         """Leave out what stands in a domain that takes only a share yet."""
         domains = self._ramp.select(
-            domains=frozenset(known.domain for known in found),
-            chance=self._random.random(),
+            domains=frozenset(endpoint.domain for endpoint in found),
+            chance=self._rng.random(),
             now=now,
         )
-        return [known for known in found if known.domain in domains] or found
+        return [endpoint for endpoint in found if endpoint.domain in domains] or found
 
-    def _describe(self, known: Known, now: float) -> Candidate:
-        load = known.load
+    def _describe(self, endpoint: EndpointRecord, now: float) -> Candidate:
+        load = endpoint.load
         return Candidate(
-            name=known.name,
-            domain=known.domain,
+            name=endpoint.name,
+            domain=endpoint.domain,
             running=load.running,
             queued=load.queued,
             window=load.window,
-            reported_age=now - known.heard_at,
-            local=known.running,
-            group=known.pool,
+            reported_age=now - endpoint.heard_at,
+            local=endpoint.running,
+            group=endpoint.pool,
         )
 
-    def note_sent(self, known: Known) -> None:
+    def note_sent(self, endpoint: EndpointRecord) -> None:
         """Count an attempt that an endpoint is given."""
-        known.running += 1
-        self._placement.note_sent(endpoint=known.name)
+        endpoint.running += 1
+        self._placement.note_sent(endpoint=endpoint.name)
 
     def note_end(
         self,
         *,
-        known: Known,
+        endpoint: EndpointRecord,
         outcome: Outcome | None,
         first_at: float | None,
         began: float,
@@ -109,14 +111,14 @@
         No outcome means that the caller went away.  `first_at` is when the
         first piece came.
         """
-        known.running -= 1
+        endpoint.running -= 1
         if _says_nothing(outcome):
-            self._placement.note_abandoned(endpoint=known.name)
+            self._placement.note_abandoned(endpoint=endpoint.name)
             return
         now = self._clock()
         self._placement.note_finished(
-            endpoint=known.name,
-            succeeded=isinstance(outcome, Whole),
+            endpoint=endpoint.name,
+            succeeded=isinstance(outcome, Completed),
             seconds=(first_at or now) - began,
             now=now,
         )
@@ -127,8 +129,8 @@
     match outcome:
         case None:
             return True
-        case NeverRan(refusal=refusal):
+        case NeverStarted(refusal=refusal):
             return refusal in FAIR_REFUSALS
-        case Broken(finish=Finish.CANCELLED | Finish.DEADLINE):
+        case AttemptFailed(finish=Finish.CANCELLED | Finish.DEADLINE):
             return True
     return False
--- a/eelgrassrack/entry/ratings.py
+++ b/eelgrassrack/entry/ratings.py
@@ -15,7 +15,7 @@
 from ..decisions.cascade import CascadePlanner
 from ..decisions.rollout import RolloutHealth, Sample
 from ..store.platform import NotRated, Rated, RatingClient
-from .channels import Broken, Lost, Whole
+from .channels import AttemptFailed, Completed, OutcomeUnknown
 from .jobs import Dispatched
 from .refusals import CallerError
 
@@ -29,7 +29,7 @@
 class Ratings:
     """Ask the rating service and pass on what it says."""
 
-    __slots__ = ("_chooser", "_client", "_clock", "_health", "_random", "_samples")
+    __slots__ = ("_chooser", "_client", "_clock", "_health", "_rng", "_samples")
 
     def __init__(
         self,
@@ -37,13 +37,13 @@
         client: RatingClient | None,
         chooser: CascadePlanner,
         health: RolloutHealth,
-        chance: random.Random,
+        rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
         self._client = client
         self._chooser = chooser
         self._health = health
-        self._random = chance
+        self._rng = rng
         self._clock = clock
         self._samples: set[asyncio.Task] = set()
 
@@ -54,7 +54,7 @@
         """
         if self._client is None or len(self._samples) >= MOST_SAMPLES:
             return False
-        return self._random.random() < share
+        return self._rng.random() < share
 
     async def rate(
         self,
@@ -108,9 +108,9 @@
         if isinstance(dispatched, CallerError):
             return
         match dispatched.outcome:
-            case Whole():
+            case Completed():
                 failed = False
-            case Broken() | Lost():
+            case AttemptFailed() | OutcomeUnknown():
                 failed = True
             case _:
                 return
--- a/eelgrassrack/entry/keeper.py
+++ b/eelgrassrack/entry/requestclaim.py
@@ -17,7 +17,7 @@
 from .refusals import CallerError, refuse_unavailable
 
 
-class Keeper:
+class RequestClaim:
     """Write the claim before each attempt and its outcome afterwards.
 
     `held` is set when another attempt has the claim; the request then
--- a/eelgrassrack/entry/services.py
+++ b/eelgrassrack/entry/services.py
@@ -5,15 +5,15 @@
 from ..decisions.stopping import DrainAction
 from ..document.sections import Organisation
 from ..document.snapshot import Snapshot
+from .admission import Door
 from .answers import Labels, Responder, write_body, write_error
 from .arrivals import ServiceArrival
-from .channels import Whole
+from .channels import Completed
 from .dispatcher import Dispatcher
-from .doors import Door
 from .headers import Run, is_passed_on
+from .idempotency import IdempotentRunner
 from .identity import Identity
 from .jobs import Job
-from .once import Once
 from .outcomes import judge_outcome
 from .refusals import CallerError
 
@@ -33,7 +33,7 @@
         door: Door,
         identity: Identity,
         ledger: Callable[[], str],
-        once: Once,
+        once: IdempotentRunner,
     ) -> None:
         self._dispatcher = dispatcher
         self._door = door
@@ -64,7 +64,7 @@
         match result:
             case CallerError():
                 write_error(responder=responder, labels=labels, error=result)
-            case Whole(status=status, headers=fields, pieces=pieces):
+            case Completed(status=status, headers=fields, pieces=pieces):
                 passed = [pair for pair in fields if is_passed_on(pair[0])]
                 write_body(
                     responder=responder,
@@ -106,7 +106,7 @@
         organisation: Organisation,
         snapshot: Snapshot,
         request: str,
-    ) -> Whole | CallerError:
+    ) -> Completed | CallerError:
         job = Job(
             request=request,
             organisation=organisation.name,
--- a/eelgrassrack/entry/serving.py
+++ b/eelgrassrack/entry/serving.py
@@ -22,6 +22,7 @@
 from ..store.pins import Pins
 from ..store.platform import RatingClient
 from ..store.sweeper import Sweeper
+from .admission import Door
 from .billing import Billing
 from .channels import Channels
 from .chat import ChatFlow
@@ -29,10 +30,9 @@
 from .core import Core
 from .directory import Directory
 from .dispatcher import Dispatcher
-from .doors import Door
+from .idempotency import IdempotentRunner
 from .identity import Identity
 from .meter import Meter
-from .once import Once
 from .picker import Picker
 from .ratings import Ratings
 from .services import ServiceFlow
@@ -53,7 +53,7 @@
 
     __slots__ = (
         "_billing",
-        "_chance",
+        "_rng",
         "_channels",
         "_clock",
         "_directory",
@@ -64,7 +64,7 @@
         "_post",
         "_ramp",
         "core",
-        "once",
+        "idempotent_runner",
         "ratings",
         "sweeper",
     )
@@ -73,7 +73,7 @@
         self,
         *,
         billing: Billing,
-        chance: random.Random,
+        rng: random.Random,
         channels: Channels,
         clock: Callable[[], float],
         configuration: Configuration,
@@ -88,7 +88,7 @@
         suspects: Suspects,
     ) -> None:
         self._billing = billing
-        self._chance = chance
+        self._rng = rng
         self._channels = channels
         self._clock = clock
         self._directory = directory
@@ -100,13 +100,13 @@
         claims = Claims(store=store, clock=time.time, invariants=invariants)
         pins = Pins(store=store, invariants=invariants)
         dispatcher = self._build_dispatcher(settings, suspects)
-        self._door = door = Door(directory=directory, chance=chance, clock=clock)
+        self._door = door = Door(directory=directory, rng=rng, clock=clock)
         chooser = CascadePlanner()
         health = RolloutHealth()
         self.ratings = Ratings(
-            client=rating, chooser=chooser, health=health, chance=chance, clock=clock
+            client=rating, chooser=chooser, health=health, rng=rng, clock=clock
         )
-        self.once = Once(
+        self.idempotent_runner = IdempotentRunner(
             channels=channels,
             claims=claims,
             directory=directory,
@@ -115,9 +115,7 @@
             post=post,
         )
         self.sweeper = self._build_sweeper(store, claims, pins, incarnation)
-        sessions = Sessions(
-            pins=pins, health=health, invariants=invariants, chance=chance
-        )
+        sessions = Sessions(pins=pins, health=health, invariants=invariants, rng=rng)
         self.core = Core(
             name=settings.name,
             billing=billing,
@@ -150,7 +148,7 @@
     async def stop(self) -> None:
         """End what goes on behind the requests."""
         await self.ratings.stop()
-        await self.once.stop()
+        await self.idempotent_runner.stop()
 
     def _build_dispatcher(
         self, settings: EntrySettings, suspects: Suspects
@@ -159,7 +157,7 @@
             directory=self._directory,
             placement=Placement(domain=settings.domain),
             ramp=self._ramp,
-            chance=self._chance,
+            rng=self._rng,
             clock=self._clock,
         )
         return Dispatcher(
@@ -210,7 +208,7 @@
             meter=self._meter,
             ratings=self.ratings,
             steps=steps,
-            chance=self._chance,
+            rng=self._rng,
             clock=self._clock,
         )
 
@@ -220,7 +218,7 @@
             door=door,
             identity=self._identity,
             ledger=self._find_ledger,
-            once=self.once,
+            once=self.idempotent_runner,
         )
 
     def _find_ledger(self) -> str:
--- a/eelgrassrack/entry/sessions.py
+++ b/eelgrassrack/entry/sessions.py
@@ -47,7 +47,7 @@
 class Sessions:
     """Pick versions by share and keep sessions on theirs."""
 
-    __slots__ = ("_health", "_invariants", "_pins", "_random")
+    __slots__ = ("_health", "_invariants", "_pins", "_rng")
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
         pins: Pins,
         health: RolloutHealth,
         invariants: Invariants,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._pins = pins
         self._health = health
         self._invariants = invariants
-        self._random = chance
+        self._rng = rng
 
     async def pick(
         self,
@@ -160,7 +160,7 @@
         return self._health.find_shares(versions=planned, now=now, policy=policy)
 
     def _choose(self, shares: dict[str, float]) -> Picked | CallerError:
-        chosen = choose_version(shares=shares, chance=self._random.random())
+        chosen = choose_version(shares=shares, chance=self._rng.random())
         if chosen is None:
             return refuse_unavailable(reason="no_version", retry_after=5.0)
         return Picked(version=chosen)
--- a/eelgrassrack/entry/steps.py
+++ b/eelgrassrack/entry/steps.py
@@ -9,7 +9,7 @@
 from ..document.snapshot import Snapshot
 from .answers import ChatStream, Labels, Responder
 from .arrivals import ChatArrival
-from .channels import Whole
+from .channels import Completed
 from .dispatcher import Dispatcher
 from .jobs import Job
 from .outcomes import judge_outcome
@@ -54,14 +54,14 @@
         return self.arrival.terms.session or self.arrival.prompt[:AFFINITY_CHARACTERS]
 
 
-class Answered(msgspec.Struct, kw_only=True, frozen=True):
+class StepAnswered(msgspec.Struct, kw_only=True, frozen=True):
     """A whole answer of one step.
 
     `is_sent` tells that its pieces went out already, `is_sample` that it
     is to be rated after delivery.
     """
 
-    whole: Whole
+    whole: Completed
     model: str
     labels: Labels
     stream: ChatStream
@@ -75,7 +75,7 @@
         return read_body(b"".join(self.whole.pieces))
 
 
-class Failed(msgspec.Struct, kw_only=True, frozen=True):
+class StepFailed(msgspec.Struct, kw_only=True, frozen=True):
     """A step without a whole answer."""
 
     labels: Labels
@@ -102,7 +102,7 @@
 
     async def run(
         self, *, request: Request, index: int, direct: bool, responder: Responder
-    ) -> Answered | Failed:
+    ) -> StepAnswered | StepFailed:
         """Run the step at `index`; a direct one streams as it comes."""
         step = request.route.steps[index]
         labels = Labels(request=request.identity, revision=request.snapshot.revision)
@@ -114,7 +114,7 @@
             now=self._clock(),
         )
         if isinstance(picked, CallerError):
-            return Failed(labels=labels, error=picked)
+            return StepFailed(labels=labels, error=picked)
         labels = msgspec.structs.replace(
             labels,
             model=step.model,
@@ -130,8 +130,8 @@
         if isinstance(result, CallerError):
             if responder.has_begun:
                 stream.break_off(result)
-            return Failed(labels=labels, error=result)
-        return Answered(
+            return StepFailed(labels=labels, error=result)
+        return StepAnswered(
             whole=result,
             model=step.model,
             labels=labels,
@@ -148,7 +148,7 @@
         stream: ChatStream,
         is_sent: bool,
         is_sample: bool,
-    ) -> Whole | CallerError:
+    ) -> Completed | CallerError:
         began = self._clock()
         dispatched = await self._dispatcher.run(
             job=_build_job(request, index, picked),
--- a/eelgrassrack/standins/system.py
+++ b/eelgrassrack/standins/system.py
@@ -12,7 +12,7 @@
 
 from ..agent.agent import Agent
 from ..document.snapshot import Snapshot
-from ..entry.entry import Entry
+from ..entry.entry import EntryDaemon
 from ..invariants import Invariants
 from ..settings import AgentSettings, EntrySettings
 from ..store.head import DocumentHead
@@ -69,7 +69,7 @@
         self.instances = InstanceTable()
         self.rating = RatingService(cheap=cheap)
         self.invariants = Invariants(strict=False)
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, EntryDaemon] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self._chance = random.Random(seed)
         self._engine_options = engine_options
@@ -103,9 +103,9 @@
             await endpoint.standin.stop()
         await self.rating.stop()
 
-    async def add_entry(self, name: str) -> Entry:
+    async def add_entry(self, name: str) -> EntryDaemon:
         """Start an entry and put it on the instance list."""
-        entry = Entry(
+        entry = EntryDaemon(
             settings=EntrySettings(
                 name=name,
                 domain=self._entry_domain,
@@ -120,7 +120,7 @@
             instances=self.instances,
             rating=RatingClient(url=self.rating.url),
             invariants=self.invariants,
-            chance=random.Random(self._chance.random()),
+            rng=random.Random(self._chance.random()),
         )
         await entry.start()
         self.entries[name] = entry
@@ -231,10 +231,10 @@
         return Engine(name=plan.name, versions=pool.serves, **options)
 
 
-def _find_current(entry: Entry, revision: int) -> set[str]:
+def _find_current(entry: EntryDaemon, revision: int) -> set[str]:
     """Return the endpoints whose agents have the revision in force."""
     return {
-        known.name
-        for known in entry.directory
-        if known.load is not None and known.load.revision >= revision
+        endpoint.name
+        for endpoint in entry.directory
+        if endpoint.load is not None and endpoint.load.revision >= revision
     }
--- a/test/bench/test_documents.py
+++ b/test/bench/test_documents.py
@@ -5,7 +5,7 @@
 from bench.documents import MODEL, POOL, VERSION, make_document, make_key
 from eelgrassrack.document.parser import parse_document
 from eelgrassrack.document.snapshot import Snapshot
-from eelgrassrack.entry.arrivals import find_caller
+from eelgrassrack.entry.arrivals import authenticate_caller
 
 
 @pytest.mark.parametrize("organisations", [1, 40])
@@ -17,6 +17,6 @@
     assert snapshot.models[MODEL].versions == (VERSION,)
     assert snapshot.pools[POOL].serves == (VERSION,)
     key = make_key(organisations - 1)
-    caller = find_caller(snapshot=snapshot, authorization=f"Bearer {key}")
+    caller = authenticate_caller(snapshot=snapshot, authorization=f"Bearer {key}")
     assert caller.name == f"o{organisations - 1}"
     assert snapshot.allows(organisation=caller, version=VERSION)
--- a/test/entry/test_directory.py
+++ b/test/entry/test_directory.py
@@ -31,7 +31,7 @@
 
 def make_directory(*instances: Instance) -> tuple[Directory, list]:
     lost: list = []
-    directory = Directory(lose=lambda agent, reason: lost.append(agent))
+    directory = Directory(on_agent_lost=lambda agent, reason: lost.append(agent))
     directory.take_listing(instances)
     return directory, lost
 
@@ -56,7 +56,9 @@
     found = directory.find_serving(
         snapshot=SNAPSHOT, version=version, service=service, now=now
     )
-    return found if isinstance(found, Absence) else {known.name for known in found}
+    return (
+        found if isinstance(found, Absence) else {endpoint.name for endpoint in found}
+    )
 
 
 def test_only_agents_of_the_right_pool_that_beat_are_found():
@@ -67,7 +69,7 @@
     beat(directory, c, 0.0)
     assert find(directory, 0.0) == {"a"}
     assert find(directory, 0.0, service="lookup") == {"c"}
-    assert [known.name for known in directory.heard] == ["a", "c"]
+    assert [endpoint.name for endpoint in directory.reporting] == ["a", "c"]
 
 
 def test_the_reason_for_no_endpoint_comes_from_the_whole_list():
@@ -97,12 +99,12 @@
     directory, lost = make_directory(a)
     beat(directory, a, 0.0)
     assert find(directory, SILENT_AFTER + 0.1) is Absence.SILENT
-    directory.watch(GONE_AFTER)
+    directory.drop_silent(GONE_AFTER)
     assert not lost
-    directory.watch(GONE_AFTER + 0.1)
-    directory.watch(GONE_AFTER + 0.2)
+    directory.drop_silent(GONE_AFTER + 0.1)
+    directory.drop_silent(GONE_AFTER + 0.2)
     assert lost == ["a.1"]
-    assert not directory.heard
+    assert not directory.reporting
     beat(directory, a, 10.0)
     assert find(directory, 10.0) == {"a"}
 
@@ -112,8 +114,8 @@
     directory, lost = make_directory(a, b)
     beat(directory, a, 0.0)
     directory.take_listing([])
-    assert [known.name for known in directory] == ["a"]
+    assert [endpoint.name for endpoint in directory] == ["a"]
     assert find(directory, 0.0) is Absence.LEAVING
-    directory.watch(GONE_AFTER + 0.1)
+    directory.drop_silent(GONE_AFTER + 0.1)
     assert lost == ["a.1"]
     assert not list(directory)
--- a/test/entry/test_dispatcher.py
+++ b/test/entry/test_dispatcher.py
@@ -59,7 +59,7 @@
         self.started = []
         self.snapshot = SNAPSHOT
         self.channels = Channels(invariants=Invariants(strict=True))
-        self.directory = Directory(lose=lambda agent, reason: None)
+        self.directory = Directory(on_agent_lost=lambda agent, reason: None)
         self.directory.take_listing(
             Instance(name=name, role=Role.ENDPOINT, domain="d", mailbox=name, pool="p")
             for name in ENDPOINTS
@@ -81,7 +81,7 @@
             directory=self.directory,
             placement=Placement(domain="d"),
             ramp=DomainRamp(seconds=1.0),
-            chance=random.Random(1),
+            rng=random.Random(1),
             clock=loop.time,
         )
         self.dispatcher = Dispatcher(
--- a/test/entry/test_last_words.py
+++ b/test/entry/test_last_words.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from eelgrassrack.entry.entry import LAST_SECONDS, Entry
+from eelgrassrack.entry.entry import LAST_SECONDS, EntryDaemon
 from eelgrassrack.standins import system
 
 from ..promises.world import REGISTRY, TUTOR_EAST, World
@@ -73,7 +73,7 @@
 def test_a_caller_in_the_queue_of_the_port_is_told(world, monkeypatch):
     """It connects, and sends a request, in the moment in which the entry is done."""
     callers = []
-    shut = Entry._shut_door
+    shut = EntryDaemon._shut_door
     host, _, port = world.entry().url.removeprefix("http://").rpartition(":")
 
     async def come(entry):
@@ -81,7 +81,7 @@
         callers[0].sendall(REQUEST)
         await shut(entry)
 
-    monkeypatch.setattr(Entry, "_shut_door", come)
+    monkeypatch.setattr(EntryDaemon, "_shut_door", come)
     world.run(world.system.stop_entry("entry-0"))
     with callers[0] as caller:
         assert caller.recv(12) == b"HTTP/1.1 503"
--- a/test/promises/test_graceful_stop.py
+++ b/test/promises/test_graceful_stop.py
@@ -6,7 +6,7 @@
 from pytest_bdd import scenario, scenarios, then, when
 
 from eelgrassrack.agent.agent import Agent
-from eelgrassrack.entry.entry import Entry
+from eelgrassrack.entry.entry import EntryDaemon
 
 from .guards import breaks
 
@@ -21,8 +21,8 @@
     async def wait_not(which, extra):
         pass
 
-    monkeypatch.setattr(Entry, "_may_close", lambda which, waited: True)
-    monkeypatch.setattr(Entry, "_wait_idle", wait_not)
+    monkeypatch.setattr(EntryDaemon, "_may_close", lambda which, waited: True)
+    monkeypatch.setattr(EntryDaemon, "_wait_idle", wait_not)
     world.call_seconds = NEVER_SECONDS
 
 
--- a/test/promises/test_not_run.py
+++ b/test/promises/test_not_run.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def last_word_counts(monkeypatch):
-    monkeypatch.setattr(dispatcher, "_keep_truth", lambda last, new: new)
+    monkeypatch.setattr(dispatcher, "_select_result", lambda last, new: new)
 
 
 @breaks
--- a/test/promises/test_whole_answer.py
+++ b/test/promises/test_whole_answer.py
@@ -5,7 +5,7 @@
 
 from eelgrassrack.agent import attempts
 from eelgrassrack.agent.answers import StreamedAnswer
-from eelgrassrack.entry.channels import Channel, Whole
+from eelgrassrack.entry.channels import Channel, Completed
 from eelgrassrack.mailbox.messages import Piece, Resume
 
 from .guards import breaks
@@ -28,7 +28,7 @@
 
     def finish(channel, ended, now):
         channel.settle(
-            Whole(
+            Completed(
                 attempt=channel.attempt,
                 pieces=(),
                 status=ended.status,
@@ -38,7 +38,7 @@
         )
 
     monkeypatch.setattr(Channel, "take_piece", take_piece)
-    monkeypatch.setattr(Channel, "_finish_if_whole", finish)
+    monkeypatch.setattr(Channel, "_finish_if_complete", finish)
 
 
 @pytest.fixture
