--- a/bench/gatewayslopes.py
+++ b/bench/gatewayslopes.py
@@ -14,7 +14,7 @@
 from eelgrassrack.decisions.engines import EngineCandidate, ReadingTime, choose_engine
 from eelgrassrack.decisions.fairshare import Heavy, Told
 from eelgrassrack.gateway.endpoints import Endpoint
-from eelgrassrack.gateway.flight import Flight
+from eelgrassrack.gateway.endpointstate import EndpointState
 from eelgrassrack.gateway.news import (
     FULL_RATE_PEERS,
     NEWS_SECONDS,
@@ -147,7 +147,7 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     kept = [
-        Flight(
+        EndpointState(
             endpoint=Endpoint(
                 name=f"i-{number:010x}",
                 born=1_700_000_000_000 + number,
--- a/bench/gatewaysoak/callers.py
+++ b/bench/gatewaysoak/callers.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from test.gateway.world import ASK, Caller, Got
+from test.gateway.world import ANY_MODEL_HEADERS, Caller, CallerResponse
 
 from .lateness import Lateness
 from .steps import EVENTS
@@ -108,8 +108,8 @@
             caller.send(
                 path,
                 attempt=attempt,
-                patience_ms=patience_ms,
-                headers=ASK if chooses else (),
+                timeout_ms=patience_ms,
+                headers=ANY_MODEL_HEADERS if chooses else (),
             )
             got = await self._wait_answer(reading, sent_at)
             has_part = True
@@ -135,7 +135,9 @@
         )
         return told, told.is_whole and got.headers.get("connection") != "close"
 
-    async def _wait_answer(self, reading: asyncio.Future, sent_at: float) -> Got:
+    async def _wait_answer(
+        self, reading: asyncio.Future, sent_at: float
+    ) -> CallerResponse:
         """Wait for an answer for so long as this process isn't held up itself."""
         last = sent_at + ANSWER_SECONDS
         while not reading.done() and (left := last - time.monotonic()) > 0:
@@ -157,7 +159,7 @@
         return None
 
 
-def _find_fault(path: str, attempt: str, got: Got) -> str:
+def _find_fault(path: str, attempt: str, got: CallerResponse) -> str:
     """Return what is wrong with a success, if anything is."""
     if path not in STREAMS:
         return "" if got.body == attempt.encode() else f"another's answer: {got.body!r}"
--- a/bench/plays/mechanisms.py
+++ b/bench/plays/mechanisms.py
@@ -70,8 +70,8 @@
     ),
     _make(
         "backlog",
-        "gateway/flight",
-        "Flight.split_backlog = lambda self, urgency: Split(0.0, 0.0)\n",
+        "gateway/endpointstate",
+        "EndpointState.split_backlog = lambda self, urgency: Split(0.0, 0.0)\n",
     ),
     _make(
         "choice of the model",
@@ -97,12 +97,12 @@
     _make(
         "probes of silent endpoints",
         "gateway/pool",
-        "Pool.probe_silent = lambda self, **rest: None\n",
+        "ConnectionPool.probe_silent = lambda self, **rest: None\n",
     ),
     _make(
         "kept connections",
         "gateway/pool",
-        "Pool._take_kept = lambda self, endpoint, now: None\n",
+        "ConnectionPool._take_kept = lambda self, endpoint, now: None\n",
     ),
     _make(
         "passing over what failed",
--- a/eelgrassrack/gateway/__main__.py
+++ b/eelgrassrack/gateway/__main__.py
@@ -23,7 +23,7 @@
     # and callers in the socket's queue are cut.  It reads the settings later on.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     early = EarlyStop()
-    early.listen()
+    early.install_handlers()
     listener = open_early(path)
     # Only now, with the socket open, what takes long to load.
     from .process import run_process
--- a/eelgrassrack/gateway/doors.py
+++ b/eelgrassrack/gateway/adminserver.py
@@ -17,7 +17,7 @@
 REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
 
 
-class Door(HTTPServerConnectionDelegate):
+class AdminServer(HTTPServerConnectionDelegate):
     """Answer each request at one address by a function of its path."""
 
     def __init__(self, *, address: str, answer: Answer) -> None:
--- a/eelgrassrack/gateway/attempts.py
+++ b/eelgrassrack/gateway/attempts.py
@@ -10,10 +10,10 @@
 from .events import EventSplitter, skip_known
 from .exchange import Connection
 from .job import Delivered, Failed, Job, Lost, NotRun, Outcome, Unsure
-from .messages import Data, End, Head
+from .messages import Data, End, ResponseHead
 from .metrics import GatewayMetrics
-from .placing import Placing
-from .pool import Pool
+from .placing import Placer
+from .pool import ConnectionPool
 from .reply import Reply
 from .translation import Translation
 
@@ -28,7 +28,7 @@
         "_loop",
         "_may_repeat",
         "_metrics",
-        "_placing",
+        "_placer",
         "_pool",
         "_translation",
     )
@@ -36,14 +36,14 @@
     def __init__(
         self,
         *,
-        placing: Placing,
-        pool: Pool,
+        placer: Placer,
+        pool: ConnectionPool,
         translation: Translation,
         metrics: GatewayMetrics,
         may_repeat: Callable[[Job], bool],
     ) -> None:
         self._metrics = metrics
-        self._placing = placing
+        self._placer = placer
         self._pool = pool
         self._translation = translation
         self._may_repeat = may_repeat
@@ -56,10 +56,10 @@
         job.passed_over.add(endpoint.name)
         job.attempts += 1
         job.sent_at = self._loop.time()
-        self._placing.begin(job, endpoint)
+        self._placer.begin(job, endpoint)
         try:
             connection = await self._pool.take(endpoint=endpoint, now=self._loop.time())
-            if connection.is_unused and not self._placing.may_send(job, endpoint):
+            if connection.is_unused and not self._placer.may_send(job, endpoint):
                 # Nothing was sent, so this is no attempt.
                 job.attempts -= 1
                 return NotRun(reason="was taken out meanwhile")
@@ -72,7 +72,7 @@
             return NotRun(reason=str(error), is_down=True)
         except BrokenError as error:
             self._pool.check(
-                endpoint=endpoint, note_down=self._placing.evidence.note_down
+                endpoint=endpoint, note_down=self._placer.evidence.note_down
             )
             return Lost(reason=str(error))
         except asyncio.CancelledError:
@@ -82,14 +82,14 @@
             self._note_silence(job, endpoint)
             raise
         finally:
-            self._placing.end(job, endpoint)
+            self._placer.end(job, endpoint)
             if connection is not None:
                 self._count_bytes(endpoint, connection)
                 self._pool.release(endpoint=endpoint, connection=connection)
         return outcome
 
     def _count_bytes(self, endpoint: Endpoint, connection: Connection) -> None:
-        if not self._placing.is_near(endpoint):
+        if not self._placer.is_near(endpoint):
             self._metrics.crossed(connection.sent, "requests")
             self._metrics.crossed(connection.received, "answers")
 
@@ -106,11 +106,11 @@
             expected=job.expected, has_prompt=bool(job.arrival.tokens_in)
         )
         if self._loop.time() > job.sent_at + longest:
-            self._placing.evidence.note_silent(endpoint)
+            self._placer.evidence.note_silent(endpoint)
 
     def _send(self, job: Job, endpoint: Endpoint, connection: Connection) -> None:
         arrival = job.arrival
-        self._placing.note_sent(job, endpoint)
+        self._placer.note_sent(job, endpoint)
         connection.is_kept = False
         # With no attempt left a silent endpoint is better than none.
         connection.is_repeatable = job.is_repeatable and bool(job.attempts_left)
@@ -167,7 +167,7 @@
         if head.status in GOOD:
             # A refusal or a failure takes no time to read: learned from, it would
             # make the endpoint look fast, and its model.
-            self._placing.note_first(job, endpoint)
+            self._placer.note_first(job, endpoint)
         unsure = self._find_unsure(job, head, reply)
         if unsure is not None:
             return unsure
@@ -182,7 +182,7 @@
         await self.deliver(job, reply, head, body)
         return Delivered()
 
-    async def _read_head(self, connection: Connection) -> Head:
+    async def _read_head(self, connection: Connection) -> ResponseHead:
         response = await connection.read()
         return self._translation.decode_head(
             status=response.status_code,
@@ -193,7 +193,7 @@
             ],
         )
 
-    def _find_unsure(self, job: Job, head: Head, reply: Reply) -> Unsure | None:
+    def _find_unsure(self, job: Job, head: ResponseHead, reply: Reply) -> Unsure | None:
         """Return which model to ask instead, if this one is unsure.
 
         Its answer is dropped only while the caller has none of it, another
@@ -211,7 +211,7 @@
             confidence=head.confidence,
             objective=objective,
             remaining=job.deadline - self._loop.time(),
-            estimate=lambda one: self._placing.estimate(job, one),
+            estimate=lambda one: self._placer.estimate(job, one),
         )
         if model is None or not self._may_repeat(job):
             return None
@@ -227,7 +227,9 @@
                 case End():
                     return b"".join(pieces)
 
-    async def deliver(self, job: Job, reply: Reply, head: Head, body: bytes) -> None:
+    async def deliver(
+        self, job: Job, reply: Reply, head: ResponseHead, body: bytes
+    ) -> None:
         """Give the caller an endpoint's answer whole, with its length."""
         self._note_first(job)
         headers = [one for one in head.headers if one[0].lower() != "content-length"]
@@ -242,7 +244,7 @@
         job: Job,
         endpoint: Endpoint,
         connection: Connection,
-        head: Head,
+        head: ResponseHead,
         reply: Reply,
         patience: asyncio.Timeout,
     ) -> Outcome:
@@ -277,7 +279,7 @@
         return Delivered()
 
     async def _pass_events(
-        self, job: Job, reply: Reply, head: Head, data: bytes
+        self, job: Job, reply: Reply, head: ResponseHead, data: bytes
     ) -> None:
         now = self._loop.time()
         gap = now - job.passed_at
@@ -292,7 +294,9 @@
             status=head.status, reason=head.reason, headers=head.headers, data=data
         )
 
-    def _keep(self, endpoint: Endpoint, connection: Connection, head: Head) -> None:
+    def _keep(
+        self, endpoint: Endpoint, connection: Connection, head: ResponseHead
+    ) -> None:
         connection.is_kept = True
         self._pool.give_back(
             endpoint=endpoint, connection=connection, head=head, now=self._loop.time()
--- a/eelgrassrack/gateway/plan.py
+++ b/eelgrassrack/gateway/configuration.py
@@ -5,7 +5,7 @@
 import msgspec
 import xxhash
 
-from .messages import Arrival, Kind, Refusal
+from .messages import Arrival, Refusal, RouteKind
 
 
 class Target(msgspec.Struct, kw_only=True, frozen=True):
@@ -27,7 +27,7 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RouteKind
     timeout: float
     objective: float
     targets: tuple[Target, ...]
@@ -41,7 +41,7 @@
     @property
     def is_repeatable(self) -> bool:
         """Tell whether a request may run more than once."""
-        return self.kind is Kind.IDEMPOTENT or self.is_resumable
+        return self.kind is RouteKind.IDEMPOTENT or self.is_resumable
 
 
 class Service(msgspec.Struct, kw_only=True, frozen=True):
@@ -80,7 +80,7 @@
 USUAL_LIMITS = Limits()
 
 
-class Plan(msgspec.Struct, kw_only=True, frozen=True):
+class Configuration(msgspec.Struct, kw_only=True, frozen=True):
     """One version of the configuration."""
 
     version: int
@@ -128,32 +128,32 @@
 class Router:
     """Find what the newest configuration allows a request."""
 
-    __slots__ = ("_routes", "plan")
+    __slots__ = ("_routes", "configuration")
 
     def __init__(self) -> None:
-        self.plan: Plan | None = None
+        self.configuration: Configuration | None = None
         self._routes: dict[str, tuple[Route, ...]] = {}
 
     @property
     def version(self) -> int:
         """Return the version in force, 0 if there is none."""
-        return self.plan.version if self.plan else 0
+        return self.configuration.version if self.configuration else 0
 
-    def take(self, plan: Plan) -> bool:
+    def update(self, plan: Configuration) -> bool:
         """Take over a newer configuration; an older one is left out."""
         if plan.version <= self.version:
             return False
-        self.plan = plan
+        self.configuration = plan
         self._routes = plan.index_routes()
         return True
 
     def find_limits(self) -> Limits:
         """Return what callers may send; usual limits before a configuration."""
-        return self.plan.limits if self.plan else USUAL_LIMITS
+        return self.configuration.limits if self.configuration else USUAL_LIMITS
 
     def permit(self, arrival: Arrival) -> Permit | Refusal:
         """Return the route, service and organisation, or the refusal."""
-        plan = self.plan
+        plan = self.configuration
         if plan is None:
             return NOT_KNOWN
         route = self._find_route(arrival)
--- a/eelgrassrack/gateway/daemon.py
+++ b/eelgrassrack/gateway/daemon.py
@@ -11,7 +11,8 @@
 from ..errors import UserError
 from ..listening import stop_listening
 from ..supervisor import Supervisor
-from .doors import Door
+from .adminserver import AdminServer
+from .configuration import Router
 from .earlystop import STOP_SIGNALS, EarlyStop
 from .fleet import Fleet
 from .follower import Contact, Store
@@ -21,11 +22,10 @@
 from .metrics import GatewayMetrics
 from .news import Audience, News, NewsExchange
 from .peerlist import PeerList
-from .placing import Placing
-from .plan import Router
-from .pool import Pool
+from .placing import Placer
+from .pool import ConnectionPool
 from .rollouts import Rollouts
-from .serving import Serving
+from .serving import RequestHandler
 from .settings import GatewaySettings
 from .sharing import Need, Sharing, encode_beliefs, read_path
 from .translation import Translation
@@ -65,7 +65,7 @@
     __slots__ = (
         "_contact",
         "_count_dropped",
-        "_doors",
+        "_admin_servers",
         "fleet",
         "_knowledge",
         "ingress",
@@ -75,13 +75,13 @@
         "_metrics",
         "_news",
         "_peers",
-        "_placing",
+        "_placer",
         "_pool",
         "rollouts",
         "router",
         "_read_settings",
         "_server",
-        "_serving",
+        "_handler",
         "_settings",
         "_sharing",
         "_store",
@@ -110,10 +110,10 @@
         self._contact = Contact()
         self._supervisor = Supervisor(name="gateway")
         self.router = Router()
-        self._pool = Pool()
+        self._pool = ConnectionPool()
         self._make_fleet()
         self._make_knowledge()
-        self._make_doors(translation)
+        self._make_servers(translation)
 
     def _make_fleet(self) -> None:
         """Make what knows the endpoints and places requests on them."""
@@ -145,12 +145,12 @@
             rank=self._find_rank,
             contact=self._contact,
         )
-        self._placing = Placing(
+        self._placer = Placer(
             fleet=self.fleet,
             rollouts=self.rollouts,
             settings=settings,
             list_sharers=lambda: self._news.sharers if self._news.is_listed else None,
-            list_heard=lambda: self._news.heard,
+            list_peer_updates=lambda: self._news.heard,
         )
 
     def _make_knowledge(self) -> None:
@@ -163,7 +163,7 @@
             router=self.router,
             fleet=self.fleet,
             rollouts=self.rollouts,
-            list_heard=lambda: self._news.heard,
+            list_peer_updates=lambda: self._news.heard,
         )
         self._sharing = Sharing(
             find_url=self._find_url,
@@ -174,29 +174,29 @@
             count_bytes=self._count_beliefs,
         )
 
-    def _make_doors(self, translation: Translation) -> None:
+    def _make_servers(self, translation: Translation) -> None:
         """Make what callers, the balancer, peers and operators reach."""
         settings = self._settings
-        self._serving = Serving(
+        self._handler = RequestHandler(
             router=self.router,
-            placing=self._placing,
+            placer=self._placer,
             pool=self._pool,
             translation=translation,
             metrics=self._metrics,
             settings=settings,
-            is_learning=lambda: self.has_store and not self._knowledge.is_informed,
-            tell_readiness=lambda: self._news.readiness,
+            is_loading=lambda: self.has_store and not self._knowledge.is_informed,
+            get_readiness=lambda: self._news.readiness,
         )
         self.ingress = Ingress(
-            service=self._serving,
+            handler=self._handler,
             decode=translation.decode_arrival,
             is_closing=lambda: self._is_closing,
             find_limits=self.router.find_limits,
         )
         self._server = HTTPServer(self.ingress, body_timeout=BODY_SECONDS)
-        self._doors = (
-            Door(address=settings.readiness, answer=self._answer_readiness),
-            Door(
+        self._admin_servers = (
+            AdminServer(address=settings.readiness, answer=self._answer_readiness),
+            AdminServer(
                 address=f"{settings.address}:{settings.metrics_port}",
                 answer=self._answer_inside,
             ),
@@ -210,9 +210,9 @@
             loop.add_signal_handler(number, stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         await self.start()
-        if early.at is None:
+        if early.requested_at is None:
             await stopping.wait()
-        await self.stop(told_at=early.at)
+        await self.stop(told_at=early.requested_at)
 
     @property
     def is_ready(self) -> bool:
@@ -241,8 +241,8 @@
         self._supervisor.start(name="sharing", job=self._sharing.run)
         self._listener = self._listener or open_listener(self._settings.listen)
         self._server.add_socket(self._listener)
-        for door in self._doors:
-            door.open()
+        for server in self._admin_servers:
+            server.open()
         log.notice(
             "gateway: {} started in {}", self._settings.name, self._settings.domain
         )
@@ -258,12 +258,12 @@
         began = loop.time() if told_at is None else told_at
         self._is_closing = True
         ends_at = began + self._settings.grace_seconds
-        self._serving.end_by(ends_at - ANSWERED_SECONDS)
+        self._handler.set_end(ends_at - ANSWERED_SECONDS)
         await asyncio.sleep(began + ROTATION_SECONDS - loop.time())
         # The balancer still sends callers here if too few others are ready.
         # They are served if that surely fits: a closed port would cost them
         # their try.
-        self._serving.refuse_unbounded()
+        self._handler.refuse_unfinishable()
         await self.ingress.wait_answered(ends_at - DEAF_SECONDS)
         await stop_listening(self._server, [self._listener])
         await self.ingress.wait_answered(ends_at - CLOSED_SECONDS)
@@ -275,8 +275,8 @@
         """End all parts at once."""
         self._server.stop()
         await self._server.close_all_connections()
-        for door in self._doors:
-            door.close()
+        for server in self._admin_servers:
+            server.close()
         await self._supervisor.stop()
         self._news.close()
         self._sharing.close()
@@ -296,10 +296,10 @@
             return
         log.notice("gateway: settings changed")
         self._settings = settings
-        self._knowledge.take_settings(settings)
-        self._placing.take_settings(settings)
-        self._serving.take_settings(settings)
-        self.rollouts.take_settings(settings)
+        self._knowledge.apply_settings(settings)
+        self._placer.apply_settings(settings)
+        self._handler.apply_settings(settings)
+        self.rollouts.apply_settings(settings)
         self._news.take_seeds(find_seeds(settings))
 
     def _answer_readiness(self, _: str) -> tuple[int, bytes]:
@@ -314,16 +314,18 @@
             now = asyncio.get_running_loop().time()
             self._note_held_up(now - due)
             self._pool.prune(now=now)
-            self._pool.probe_silent(now=now, note_dark=self._placing.evidence.note_dark)
+            self._pool.probe_silent(
+                now=now, note_unreachable=self._placer.evidence.note_unreachable
+            )
             self.fleet.sweep()
             self.ingress.close_overdue()
-            self._placing.forget_parts()
-            self._placing.judge()
+            self._placer.evict_prefixes()
+            self._placer.detect_outliers()
             if now >= next_look:
                 # The file may change without any signal.
                 self.reload()
                 next_look = now + SETTINGS_SECONDS
-            self._placing.note_news()
+            self._placer.note_peer_updates()
 
     def _note_held_up(self, seconds: float) -> None:
         if seconds < HELD_UP_SECONDS:
@@ -343,12 +345,12 @@
             configuration=self.router.version,
             knows_store=self._knowledge.knows_store,
             revisions=self._knowledge.revisions,
-            flights=self._placing.tell_flights(),
+            flights=self._placer.report_endpoints(),
             trials=trials,
             pins=pins,
-            crashes=self._placing.evidence.tell_crashes(),
-            doubted=self._placing.evidence.tell_doubted(),
-            usage=self._placing.tell_usage(),
+            crashes=self._placer.evidence.tell_crashes(),
+            doubted=self._placer.evidence.tell_doubted(),
+            usage=self._placer.report_usage(),
             domain=self._settings.domain,
             is_ready=self.is_ready,
         )
@@ -360,8 +362,8 @@
             self._metrics.version.set(self.router.version)
             self._metrics.store.set(self.has_store)
             self._metrics.entries.set(self.entries)
-            self._metrics.slow.set(self._placing.count_slow())
-            self._metrics.heavy.set(len(self._placing.heavy))
+            self._metrics.slow.set(self._placer.count_slow())
+            self._metrics.heavy.set(len(self._placer.heavy))
             self._metrics.dropped_lines.set(self._count_dropped())
             return (200, self._metrics.render())
         return (200, encode_beliefs(self._knowledge.describe(known)))
@@ -380,7 +382,7 @@
         elif self._knowledge.find_need() is not Need.NONE:
             self._sharing.wake.set()
         self.rollouts.take_news(news)
-        self._placing.note_news()
+        self._placer.note_peer_updates()
 
     def _find_rank(self) -> int:
         """Return this gateway's place among the live ones, by name."""
@@ -389,7 +391,7 @@
 
     def _forget(self, lifetime: tuple[str, int]) -> None:
         self._pool.forget(lifetime=lifetime)
-        self._placing.evidence.note_gone(lifetime)
+        self._placer.evidence.note_gone(lifetime)
 
 
 def find_seeds(settings: GatewaySettings) -> tuple[str, ...]:
--- a/eelgrassrack/gateway/earlystop.py
+++ b/eelgrassrack/gateway/earlystop.py
@@ -15,16 +15,16 @@
 class EarlyStop:
     """When a process was told to stop, by the steady clock, if it was."""
 
-    __slots__ = ("at",)
+    __slots__ = ("requested_at",)
 
     def __init__(self) -> None:
-        self.at: float | None = None
+        self.requested_at: float | None = None
 
-    def listen(self) -> None:
+    def install_handlers(self) -> None:
         """Note signals from now on instead of being ended by them."""
         for number in STOP_SIGNALS:
             signal.signal(number, self._note)
 
     def _note(self, _: int, __: FrameType | None) -> None:
-        if self.at is None:
-            self.at = time.monotonic()
+        if self.requested_at is None:
+            self.requested_at = time.monotonic()
--- a/eelgrassrack/gateway/flight.py
+++ b/eelgrassrack/gateway/endpointstate.py
@@ -12,16 +12,16 @@
 BADNESS_WEIGHT = 0.2
 
 
-class Flight:
+class EndpointState:
     """What this gateway knows of one lifetime of an endpoint.
 
     `key` is a short hash of the lifetime, by which gateways speak of it.
 
-    `own` counts its requests under way here, `peers` those of other gateways
-    by their last news; `own_backlog` and `peers_backlog` are what the endpoint
-    still has to read of their prompts.  `parts` holds the shared parts
+    `own_running` counts its requests there, `peer_running` those of other gateways
+    by their last news; `own_backlog` and `peer_backlog` are what the endpoint
+    still has to read of their prompts.  `cached_prefixes` holds the shared parts
     of prompts that were sent there, with the time of the last use.
-    `badness` is the share of failures among the last answers, and
+    `failure_rate` is the share of failures among the last answers, and
     `cold_sends` holds the times of the last second's sends to a cold endpoint,
     `cold_share` is how many there may be until `cold_share_until`.
     `timing` is how slow its answers were here until `timed_at`, and `slowness`
@@ -29,26 +29,26 @@
     """
 
     __slots__ = (
-        "badness",
+        "failure_rate",
         "cold_sends",
         "cold_share",
         "cold_share_until",
         "cold_until",
-        "doubted_until",
+        "suspected_until",
         "endpoint",
-        "is_doubted_by_peers",
+        "is_suspected_by_peers",
         "key",
         "missing_since",
-        "own",
+        "own_running",
         "own_backlog",
-        "parts",
-        "peers",
-        "peers_backlog",
-        "shunned_until",
+        "cached_prefixes",
+        "peer_running",
+        "peer_backlog",
+        "avoided_until",
         "slowness",
         "timed_at",
         "timing",
-        "timing_of_peers",
+        "peer_timing",
     )
 
     def __init__(self, *, endpoint: Endpoint, now: float) -> None:
@@ -56,38 +56,38 @@
         name, born = endpoint.lifetime
         self.key = xxhash.xxh32_intdigest(f"{name}.{born}".encode())
         self.cold_until = now + endpoint.cold
-        self.own = 0
+        self.own_running = 0
         self.own_backlog = ReadingBacklog()
-        self.peers = 0
-        self.peers_backlog = ReadingBacklog()
-        self.parts: dict[str, float] = {}
-        self.badness = 0.0
+        self.peer_running = 0
+        self.peer_backlog = ReadingBacklog()
+        self.cached_prefixes: dict[str, float] = {}
+        self.failure_rate = 0.0
         self.cold_sends: collections.deque[float] = collections.deque()
         self.cold_share = 0
         self.cold_share_until = float("-inf")
         self.missing_since: float | None = None
-        self.shunned_until = float("-inf")
-        self.doubted_until = float("-inf")
-        self.is_doubted_by_peers = False
+        self.avoided_until = float("-inf")
+        self.suspected_until = float("-inf")
+        self.is_suspected_by_peers = False
         self.timing = Timing()
         self.timed_at = now
-        self.timing_of_peers = Timing()
+        self.peer_timing = Timing()
         self.slowness = 1.0
 
     @property
     def running(self) -> int:
         """Return how many requests all gateways have there."""
-        return self.own + self.peers
+        return self.own_running + self.peer_running
 
     @property
     def backlog(self) -> float:
         """Return the seconds that it needs to read all prompts."""
-        return self.own_backlog.whole + self.peers_backlog.whole
+        return self.own_backlog.whole + self.peer_backlog.whole
 
     def split_backlog(self, urgency: int) -> Split:
         """Return what it reads before a prompt of an urgency, and after it."""
         own = self.own_backlog.split(urgency)
-        peers = self.peers_backlog.split(urgency)
+        peers = self.peer_backlog.split(urgency)
         return Split(own.ahead + peers.ahead, own.behind + peers.behind)
 
     def note_first(self, *, seen: float, expected: float, now: float) -> None:
@@ -101,15 +101,17 @@
 
     def note_end(self, *, failed: bool) -> None:
         """Learn from one end of an attempt how often the endpoint fails."""
-        self.badness += (failed - self.badness) * BADNESS_WEIGHT
+        self.failure_rate += (failed - self.failure_rate) * BADNESS_WEIGHT
 
-    def forget_parts(self, *, before: float) -> None:
+    def evict_prefixes(self, *, before: float) -> None:
         """Forget shared parts that were used before a time."""
-        self.parts = {name: at for name, at in self.parts.items() if at >= before}
+        self.cached_prefixes = {
+            name: at for name, at in self.cached_prefixes.items() if at >= before
+        }
 
-    def is_doubted(self, now: float) -> bool:
+    def is_suspected(self, now: float) -> bool:
         """Tell whether an answer was lost there lately, here or at a peer."""
-        return self.is_doubted_by_peers or now < self.doubted_until
+        return self.is_suspected_by_peers or now < self.suspected_until
 
     def is_cold(self, now: float) -> bool:
         """Tell whether the endpoint bears only a few requests a second."""
--- a/eelgrassrack/gateway/evidence.py
+++ b/eelgrassrack/gateway/evidence.py
@@ -7,8 +7,8 @@
 from ..decisions.queryofdeath import Crash, QueryOfDeathDetector
 from ..decisions.suspects import SUSPICION_SECONDS
 from .endpoints import Endpoint
+from .endpointstate import EndpointState
 from .fleet import Fleet
-from .flight import Flight
 from .news import News
 from .rollouts import Rollouts
 
@@ -88,15 +88,15 @@
         flight = self._fleet.find_lifetime(endpoint)
         if flight is not None:
             flight.note_end(failed=True)
-            flight.doubted_until = self._loop.time() + SUSPICION_SECONDS
+            flight.suspected_until = self._loop.time() + SUSPICION_SECONDS
             self._shun(flight)
 
-    def note_dark(self, endpoint: Endpoint) -> None:
+    def note_unreachable(self, endpoint: Endpoint) -> None:
         """Note that an endpoint with requests under way is out of reach."""
         flight = self._fleet.find_lifetime(endpoint)
         if flight is not None:
-            flight.badness = max(flight.badness, OFTEN_BAD)
-            flight.doubted_until = self._loop.time() + SUSPICION_SECONDS
+            flight.failure_rate = max(flight.failure_rate, OFTEN_BAD)
+            flight.suspected_until = self._loop.time() + SUSPICION_SECONDS
             self._shun(flight)
 
     def note_gone(self, lifetime: tuple[str, int]) -> None:
@@ -123,9 +123,9 @@
     def tell_doubted(self) -> tuple[int, ...]:
         """Return the lifetimes that lost an answer here lately, for peers."""
         now = self._loop.time()
-        return tuple(one.key for one in self._fleet if now < one.doubted_until)
+        return tuple(one.key for one in self._fleet if now < one.suspected_until)
 
-    def _shun(self, flight: Flight) -> None:
-        often = flight.badness >= OFTEN_BAD
+    def _shun(self, flight: EndpointState) -> None:
+        often = flight.failure_rate >= OFTEN_BAD
         seconds = LONG_SHUN_SECONDS if often else SHORT_SHUN_SECONDS
-        flight.shunned_until = self._loop.time() + seconds
+        flight.avoided_until = self._loop.time() + seconds
--- a/eelgrassrack/gateway/fleet.py
+++ b/eelgrassrack/gateway/fleet.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from .endpoints import Endpoint
-from .flight import Flight
+from .endpointstate import EndpointState
 from .follower import Contact
 
 log = logbook.Logger("fleet")
@@ -56,15 +56,15 @@
         self._contact = contact
         self._clock = clock
         self._forget = forget
-        self._flights: dict[str, Flight] = {}
+        self._flights: dict[str, EndpointState] = {}
         self.evacuated: frozenset[str] = frozenset()
         self.is_known = False
 
-    def __iter__(self) -> Iterable[Flight]:
+    def __iter__(self) -> Iterable[EndpointState]:
         """Return all lifetimes that are known."""
         return iter(tuple(self._flights.values()))
 
-    def find(self, name: str) -> Flight | None:
+    def find(self, name: str) -> EndpointState | None:
         """Return what is known of an endpoint."""
         return self._flights.get(name)
 
@@ -123,7 +123,7 @@
             if flight.missing_since is not None and not self._may_be_back(now):
                 self._drop(flight, "still missing after the store's return")
 
-    def find_lifetime(self, endpoint: Endpoint) -> Flight | None:
+    def find_lifetime(self, endpoint: Endpoint) -> EndpointState | None:
         """Return the lifetime's record, or None once it is gone."""
         flight = self.find(endpoint.name)
         if flight is None or flight.endpoint.lifetime != endpoint.lifetime:
@@ -132,7 +132,7 @@
 
     def select(
         self, *, service: str, versions: VersionChoice = ANY_VERSION
-    ) -> list[Flight]:
+    ) -> list[EndpointState]:
         """Return the lifetimes that may get a request now."""
         usable = [
             flight
@@ -152,7 +152,7 @@
         if flight is None or flight.endpoint.lifetime != endpoint.lifetime:
             if flight is not None:
                 self._drop(flight, "started again")
-            self._flights[endpoint.name] = Flight(endpoint=endpoint, now=now)
+            self._flights[endpoint.name] = EndpointState(endpoint=endpoint, now=now)
             log.info(
                 "fleet: {} of {} {} is up in {}, cold for {:.1f} s",
                 endpoint.name,
@@ -190,7 +190,7 @@
             return True
         return now < self._contact.returned_at + LAPSE_SECONDS
 
-    def _drop(self, flight: Flight, reason: str) -> None:
+    def _drop(self, flight: EndpointState, reason: str) -> None:
         log.info("fleet: {} is gone: {}", flight.endpoint.name, reason)
         del self._flights[flight.endpoint.name]
         self._forget(flight.endpoint.lifetime)
--- a/eelgrassrack/gateway/flightnews.py
+++ b/eelgrassrack/gateway/flightnews.py
@@ -8,8 +8,8 @@
 
 from ..decisions.backlog import ReadingBacklog
 from ..decisions.slowness import Timing, find_slow
+from .endpointstate import EndpointState
 from .fleet import Fleet
-from .flight import Flight
 from .news import BacklogNews, FlightNews, News
 
 log = logbook.Logger("placing")
@@ -25,7 +25,7 @@
     return tuple(one for one in told if one.running or one.answers)
 
 
-def _tell(flight: Flight, now: float) -> FlightNews:
+def _tell(flight: EndpointState, now: float) -> FlightNews:
     timing = flight.find_timing(now)
     backlog = tuple(
         BacklogNews(urgency, int(seconds * MILLISECONDS))
@@ -33,7 +33,7 @@
     )
     return FlightNews(
         flight.key,
-        flight.own,
+        flight.own_running,
         backlog,
         int(timing.answers * HUNDREDTHS),
         int(timing.total * HUNDREDTHS),
@@ -49,10 +49,10 @@
     doubted = set(itertools.chain.from_iterable(one.doubted for one in heard))
     for flight in fleet:
         found = sums.get(flight.key) or Sum()
-        flight.peers = found.running
-        flight.peers_backlog = found.backlog
-        flight.timing_of_peers = found.timing
-        flight.is_doubted_by_peers = flight.key in doubted
+        flight.peer_running = found.running
+        flight.peer_backlog = found.backlog
+        flight.peer_timing = found.timing
+        flight.is_suspected_by_peers = flight.key in doubted
 
 
 class Sum:
@@ -77,14 +77,14 @@
     """Find out which endpoints take far longer than others of their service."""
     by_service: dict[str, dict[str, Timing]] = collections.defaultdict(dict)
     for flight in fleet:
-        timing = flight.find_timing(now) + flight.timing_of_peers
+        timing = flight.find_timing(now) + flight.peer_timing
         by_service[flight.endpoint.service][flight.endpoint.name] = timing
     slow = collections.ChainMap(*map(find_slow, by_service.values()))
     for flight in fleet:
         _take_slowness(flight, slow.get(flight.endpoint.name, 1.0))
 
 
-def _take_slowness(flight: Flight, factor: float) -> None:
+def _take_slowness(flight: EndpointState, factor: float) -> None:
     if (factor > 1.0) != (flight.slowness > 1.0):
         name = flight.endpoint.name
         log.info("placing: {} takes {:.1f} times as long as others", name, factor)
--- a/eelgrassrack/gateway/ingress.py
+++ b/eelgrassrack/gateway/ingress.py
@@ -18,10 +18,10 @@
 from tornado.iostream import IOStream
 
 from ..lingering import NOT_READ, Lingering
+from .configuration import Limits
 from .errors import CallerGoneError
 from .exchange import set_probes
 from .messages import Arrival, Refusal
-from .plan import Limits
 from .reply import Reply
 
 log = logbook.Logger("ingress")
@@ -36,7 +36,7 @@
 
 # A caller that has connected mostly sends its first request by then, also if a lost
 # packet is sent again; one that is slower is told to ask elsewhere.
-FIRST_SECONDS = 0.3
+FIRST_REQUEST_SECONDS = 0.3
 
 # The library reads heads up to this many times the limit, so that most heads
 # that are too long get an answer; it closes at once on those beyond.
@@ -71,7 +71,7 @@
     return bool(data)
 
 
-class Service(Protocol):
+class Handler(Protocol):
     """What serves requests."""
 
     async def serve(self, *, arrival: Arrival, reply: Reply) -> None:
@@ -80,7 +80,7 @@
     async def refuse(self, arrival: Arrival, reply: Reply, refusal: Refusal) -> None:
         """Answer one request with a refusal."""
 
-    def tell_stopping(self) -> Refusal:
+    def make_stopping_refusal(self) -> Refusal:
         """Return what callers are told that come too late in a stop."""
 
 
@@ -101,7 +101,7 @@
 
     def awaits_first(self, now: float) -> bool:
         """Tell whether the first request is most likely on its way."""
-        return self.is_first and now < self.since + FIRST_SECONDS
+        return self.is_first and now < self.since + FIRST_REQUEST_SECONDS
 
 
 Decode = Callable[..., Arrival]
@@ -113,12 +113,12 @@
     def __init__(
         self,
         *,
-        service: Service,
+        handler: Handler,
         decode: Decode,
         is_closing: Callable[[], bool],
         find_limits: Callable[[], Limits],
     ) -> None:
-        self._service = service
+        self._handler = handler
         self._decode = decode
         self._is_closing = is_closing
         self._find_limits = find_limits
@@ -255,9 +255,9 @@
     ) -> None:
         try:
             if refusal is not None:
-                await self._service.refuse(arrival, reply, refusal)
+                await self._handler.refuse(arrival, reply, refusal)
                 return
-            await self._service.serve(arrival=arrival, reply=reply)
+            await self._handler.serve(arrival=arrival, reply=reply)
         except CallerGoneError:
             log.info("ingress: the caller of {request} is gone", request=arrival.id)
         except asyncio.CancelledError:
@@ -342,7 +342,7 @@
     def end(self) -> None:
         """Answer now, as the rest of the request won't be waited for."""
         if self._refused is None:
-            self._refuse(self._ingress._service.tell_stopping())
+            self._refuse(self._ingress._handler.make_stopping_refusal())
 
     def _refuse(self, refusal: Refusal) -> None:
         """Answer before the request is whole, and read on without keeping it."""
--- a/eelgrassrack/gateway/job.py
+++ b/eelgrassrack/gateway/job.py
@@ -6,8 +6,8 @@
 import xxhash
 
 from ..decisions.urgency import LEAST_URGENT
-from .messages import Arrival, Head
-from .plan import Permit
+from .configuration import Permit
+from .messages import Arrival, ResponseHead
 
 # A caller that leaves the choice of the model to the router names this one.
 ANY_MODEL = "*"
@@ -44,7 +44,7 @@
 class Failed(msgspec.Struct, kw_only=True, frozen=True):
     """The endpoint answered with a failure of its own."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
 
 
--- a/eelgrassrack/gateway/knowledge.py
+++ b/eelgrassrack/gateway/knowledge.py
@@ -10,11 +10,11 @@
 from ..decisions.sources import Source, rank_sources
 from ..decisions.watchers import WatchRole, find_watch_role
 from ..decisions.watchschedule import find_wait
+from .configuration import Configuration, Router
 from .endpoints import Endpoint
 from .fleet import Fleet
 from .follower import Contact, Follower, Store, TakeChanges, TakeList
 from .news import News
-from .plan import Plan, Router
 from .rollouts import Rollouts
 from .settings import GatewaySettings
 from .sharing import Beliefs, Known, Need
@@ -42,7 +42,7 @@
         "_contact",
         "_fleet",
         "_kinds",
-        "_list_heard",
+        "_list_peer_updates",
         "_rollouts",
         "_router",
         "_settings",
@@ -60,7 +60,7 @@
         router: Router,
         fleet: Fleet,
         rollouts: Rollouts,
-        list_heard: Callable[[], tuple[News, ...]],
+        list_peer_updates: Callable[[], tuple[News, ...]],
     ) -> None:
         self._settings = settings
         self._store = store
@@ -69,18 +69,18 @@
         self._router = router
         self._fleet = fleet
         self._rollouts = rollouts
-        self._list_heard = list_heard
+        self._list_peer_updates = list_peer_updates
         self._adopted: tuple[int, ...] = (0, 0, 0, 0)
         self.followers = self._make_followers()
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Take over changed bounds, from the next watch on."""
         self._settings = settings
 
     @property
     def is_informed(self) -> bool:
         """Tell whether a configuration and the endpoints are known."""
-        return self._router.plan is not None and self._fleet.is_known
+        return self._router.configuration is not None and self._fleet.is_known
 
     def describe(self, known: Known) -> Beliefs:
         """Return what was read and a peer doesn't know yet."""
@@ -95,7 +95,7 @@
         kinds = self._kinds
         is_newer = self._router.version > known.configuration
         return Beliefs(
-            plan=self._router.plan if is_newer else None,
+            plan=self._router.configuration if is_newer else None,
             endpoints=self._list_endpoints() if kinds.ENDPOINTS in fresh else None,
             evacuated=(
                 tuple(sorted(self._fleet.evacuated))
@@ -129,7 +129,7 @@
                 configuration=news.configuration,
                 revisions=news.revisions[1:],
             )
-            for news in self._list_heard()
+            for news in self._list_peer_updates()
         )
         return rank_sources(
             sources, revisions=self._adopted[1:], spread=self._settings.name
@@ -153,7 +153,7 @@
 
     def find_need(self) -> Need:
         """Tell whether peers know what the store doesn't tell here."""
-        heard = self._list_heard()
+        heard = self._list_peer_updates()
         if not self.is_informed:
             is_known = any(news.configuration for news in heard)
             return Need.URGENT if is_known else Need.NONE
@@ -172,7 +172,7 @@
 
     def _find_watch(self) -> WatchRole:
         """Return this gateway's place among those that watch the store."""
-        heard = self._list_heard()
+        heard = self._list_peer_updates()
         return find_watch_role(
             name=self._settings.name,
             others=(news.name for news in heard),
@@ -284,9 +284,9 @@
     def _take_plans(self, objects: dict[str, object | None]) -> None:
         for plan in objects.values():
             match plan:
-                case Plan() if self._router.take(plan):
+                case Configuration() if self._router.update(plan):
                     log.info("gateway: configuration {} in force", plan.version)
-                case Plan() | None:
+                case Configuration() | None:
                     continue
                 case _:
                     log.warning("gateway: a configuration can't be read: {}", plan)
--- a/eelgrassrack/gateway/messages.py
+++ b/eelgrassrack/gateway/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Kind(enum.Enum):
+class RouteKind(enum.Enum):
     """What a request's route says of repeating it."""
 
     IDEMPOTENT = "idempotent"
@@ -13,7 +13,7 @@
     STREAM = "stream"
 
 
-class Part(msgspec.Struct, frozen=True):
+class PromptPart(msgspec.Struct, frozen=True):
     """One part of a prompt, which requests may share; `tokens` is its length."""
 
     name: str
@@ -23,7 +23,7 @@
 class Arrival(msgspec.Struct, kw_only=True):
     """A request as its caller sent it.
 
-    `headers` are those that are passed on unchanged.  `patience` is how many
+    `headers` are those that are passed on unchanged.  `timeout` is how many
     seconds the caller waits, `arrived` the loop's time when its header was
     read, `resume_after` the id of the last event that the caller has,
     `length_hint` its guess of the tokens in the answer.
@@ -37,18 +37,18 @@
     headers: tuple[tuple[str, str], ...]
     arrived: float
     key: str | None = None
-    patience: float | None = None
+    timeout: float | None = None
     model: str = ""
     tokens_in: int = 0
     tokens_out: int = 0
-    parts: tuple[Part, ...] = ()
+    parts: tuple[PromptPart, ...] = ()
     session: str = ""
     resume_after: str = ""
     length_hint: int = 0
     body: bytes = b""
 
 
-class Load(msgspec.Struct, frozen=True):
+class EndpointLoad(msgspec.Struct, frozen=True):
     """What an endpoint says of itself in an answer."""
 
     running: int
@@ -56,7 +56,7 @@
     slots: int
 
 
-class Head(msgspec.Struct, kw_only=True, frozen=True):
+class ResponseHead(msgspec.Struct, kw_only=True, frozen=True):
     """The head of an endpoint's answer.
 
     `headers` are those to pass on.  `not_run` says that the endpoint promised
@@ -72,7 +72,7 @@
     is_whole: bool
     attempt: str
     is_event_stream: bool = False
-    load: Load | None = None
+    load: EndpointLoad | None = None
     keep_alive: float | None = None
     will_close: bool = False
     confidence: int | None = None
--- a/eelgrassrack/gateway/placing.py
+++ b/eelgrassrack/gateway/placing.py
@@ -18,15 +18,15 @@
 from ..decisions.precedence import Sharer, count_before
 from ..decisions.sharedbudget import share_cold_rate
 from ..decisions.suspects import avoid_suspected
+from .configuration import Service
 from .endpoints import Endpoint
+from .endpointstate import EndpointState
 from .evidence import Evidence
 from .fleet import Fleet
-from .flight import Flight
 from .flightnews import judge_slow, take_flights, tell_flights
 from .job import Placement
 from .messages import Refusal
 from .news import FlightNews, News
-from .plan import Service
 from .prompts import (
     find_affinity,
     find_cost,
@@ -58,7 +58,7 @@
 POISON = Refusal(status=502, reason="crashes the endpoints that run it")
 
 
-class Placing:
+class Placer:
     """Choose endpoints and keep count of what runs on them.
 
     `heavy` are the organisations whose prompts give way to those of others,
@@ -70,7 +70,7 @@
         "_added_at",
         "_fleet",
         "_has_news",
-        "_list_heard",
+        "_list_peer_updates",
         "_list_sharers",
         "_loop",
         "_pace",
@@ -88,14 +88,14 @@
         rollouts: Rollouts,
         settings: GatewaySettings,
         list_sharers: Callable[[], tuple[Sharer, ...] | None],
-        list_heard: Callable[[], tuple[News, ...]],
+        list_peer_updates: Callable[[], tuple[News, ...]],
     ) -> None:
         self.evidence = Evidence(fleet=fleet, rollouts=rollouts)
         self._fleet = fleet
         self._rollouts = rollouts
         self._settings = settings
         self._list_sharers = list_sharers
-        self._list_heard = list_heard
+        self._list_peer_updates = list_peer_updates
         self._has_news = False
         self._added_at = 0.0
         self._pace = Pace()
@@ -103,7 +103,7 @@
         self._loop = asyncio.get_running_loop()
         self._usage = Usage(now=self._loop.time())
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Take over changed settings."""
         self._settings = settings
 
@@ -165,14 +165,14 @@
         if affinity:
             if self._holds(flight, affinity, now):
                 job.reading -= reading.shared
-            flight.parts[affinity] = now
+            flight.cached_prefixes[affinity] = now
         job.urgency = rank_reading(job, job.reading, self.heavy)
         if job.arrival.tokens_in:
             self._usage.note(
                 organisation=job.permit.organisation_name, seconds=job.reading
             )
         job.was_idle = flight.backlog < IDLE_SECONDS
-        flight.own += 1
+        flight.own_running += 1
         flight.own_backlog.add(job.urgency, job.reading)
         flight.cold_sends.append(job.sent_at)
 
@@ -200,7 +200,7 @@
         """Count the end of a request."""
         flight = self._fleet.find_lifetime(endpoint)
         if flight is not None:
-            flight.own -= 1
+            flight.own_running -= 1
             flight.own_backlog.add(job.urgency, -job.reading)
         job.reading = 0.0
 
@@ -223,23 +223,23 @@
                 seconds=self._loop.time() - job.first_at,
             )
 
-    def forget_parts(self) -> None:
+    def evict_prefixes(self) -> None:
         """Forget which shared parts were used long ago."""
         before = self._loop.time() - self._settings.reuse_seconds
         for flight in self._fleet:
-            flight.forget_parts(before=before)
+            flight.evict_prefixes(before=before)
 
-    def tell_flights(self) -> tuple[FlightNews, ...]:
+    def report_endpoints(self) -> tuple[FlightNews, ...]:
         """Return what is under way, for peers."""
         return tell_flights(self._fleet, self._loop.time())
 
-    def judge(self) -> None:
+    def detect_outliers(self) -> None:
         """Find out which endpoints are slow, and which organisations give way."""
         self._add_up_news()
         now = self._loop.time()
         judge_slow(self._fleet, now)
         self._usage.fade(now)
-        heavy = self._usage.find_heavy(one.usage for one in self._list_heard())
+        heavy = self._usage.find_heavy(one.usage for one in self._list_peer_updates())
         if heavy != self.heavy:
             names = ", ".join(sorted(heavy)) or "none"
             log.info("placing: organisations that give way: {}", names)
@@ -249,11 +249,11 @@
         """Return how many endpoints take far longer than others."""
         return sum(flight.slowness > 1.0 for flight in self._fleet)
 
-    def tell_usage(self) -> Told:
+    def report_usage(self) -> Told:
         """Return what organisations had engines read, for peers."""
         return self._usage.report()
 
-    def note_news(self) -> None:
+    def note_peer_updates(self) -> None:
         """Note that there are news of peers, or that a peer fell silent.
 
         They are added up when they are used: with 30 peers a hundred datagrams
@@ -267,11 +267,11 @@
             return
         self._has_news = False
         self._added_at = self._loop.time()
-        heard = self._list_heard()
+        heard = self._list_peer_updates()
         take_flights(self._fleet, heard)
         self.evidence.take_news(heard)
 
-    def _select(self, job: "Job", passed_over: Collection[str]) -> list[Flight]:
+    def _select(self, job: "Job", passed_over: Collection[str]) -> list[EndpointState]:
         versions = self._rollouts.choose_version(
             service=job.permit.service.name,
             session=job.arrival.session,
@@ -280,14 +280,14 @@
         flights = self._fleet.select(service=job.permit.service.name, versions=versions)
         return [one for one in flights if one.endpoint.name not in passed_over]
 
-    def _select_trusted(self, job: "Job", now: float) -> list[Flight]:
+    def _select_trusted(self, job: "Job", now: float) -> list[EndpointState]:
         return avoid_suspected(
             self._select(job, passed_over=job.passed_over),
-            is_suspected=lambda one: one.is_doubted(now),
+            is_suspected=lambda one: one.is_suspected(now),
             is_repeatable=job.is_repeatable,
         )
 
-    def _choose(self, job: "Job", flights: list[Flight]) -> Endpoint:
+    def _choose(self, job: "Job", flights: list[EndpointState]) -> Endpoint:
         choice = self._weigh(job, job.model, flights)
         chosen = next(one for one in flights if one.endpoint.name == choice.name)
         job.expected = choice.seconds
@@ -300,7 +300,9 @@
         )
         return chosen.endpoint
 
-    def _weigh(self, job: "Job", model: str, flights: list[Flight]) -> EngineChoice:
+    def _weigh(
+        self, job: "Job", model: str, flights: list[EndpointState]
+    ) -> EngineChoice:
         now = self._loop.time()
         affinity = find_affinity(job, model)
         reading = find_reading(job, model, self._pace)
@@ -325,11 +327,11 @@
             return left
         return left - find_reading(job, models[-1], self._pace).whole
 
-    def _holds(self, flight: Flight, affinity: str, now: float) -> bool:
-        used_at = flight.parts.get(affinity)
+    def _holds(self, flight: EndpointState, affinity: str, now: float) -> bool:
+        used_at = flight.cached_prefixes.get(affinity)
         return used_at is not None and now < used_at + self._settings.reuse_seconds
 
-    def _has_cold_room(self, flight: Flight, job: "Job", now: float) -> bool:
+    def _has_cold_room(self, flight: EndpointState, job: "Job", now: float) -> bool:
         sends = flight.cold_sends
         while sends and sends[0] < now - 1.0:
             sends.popleft()
@@ -341,7 +343,7 @@
             flight.cold_share_until = now + SHARE_SECONDS
         return len(sends) < flight.cold_share
 
-    def _share_cold_rate(self, flight: Flight, service: Service) -> int:
+    def _share_cold_rate(self, flight: EndpointState, service: Service) -> int:
         settings = self._settings
         sharers = self._list_sharers()
         if sharers is None:
@@ -360,7 +362,7 @@
         )
 
     def _describe(
-        self, flight: Flight, urgency: int, affinity: str, now: float
+        self, flight: EndpointState, urgency: int, affinity: str, now: float
     ) -> EngineCandidate:
         split = flight.split_backlog(urgency)
         return EngineCandidate(
@@ -372,5 +374,5 @@
             slots=flight.endpoint.slots,
             is_near=self.is_near(flight.endpoint),
             holds_parts=bool(affinity) and self._holds(flight, affinity, now),
-            is_shunned=now < flight.shunned_until or flight.missing_since is not None,
+            is_shunned=now < flight.avoided_until or flight.missing_since is not None,
         )
--- a/eelgrassrack/gateway/pool.py
+++ b/eelgrassrack/gateway/pool.py
@@ -14,7 +14,7 @@
 from .endpoints import Endpoint
 from .errors import ConnectError
 from .exchange import Connection, open_connection
-from .messages import Head
+from .messages import ResponseHead
 
 log = logbook.Logger("pool")
 
@@ -40,7 +40,7 @@
 PROBED_IDLE_SECONDS = 2.0
 
 
-class Pool:
+class ConnectionPool:
     """Connections by endpoint, of which each lifetime has its own."""
 
     __slots__ = ("_busy", "_checked", "_idle", "_probing")
@@ -72,7 +72,7 @@
             connection.abort()
 
     def probe_silent(
-        self, *, now: float, note_dark: Callable[[Endpoint], None]
+        self, *, now: float, note_unreachable: Callable[[Endpoint], None]
     ) -> None:
         """Connect anew to endpoints that have been silent under way.
 
@@ -86,7 +86,7 @@
                 continue
             for one in busy:
                 one.heard_at = now + NEXT_PROBE_SECONDS - SILENT_SECONDS
-            self._start(self._probe(endpoint, note_dark))
+            self._start(self._probe(endpoint, note_unreachable))
 
     def check(
         self, *, endpoint: Endpoint, note_down: Callable[[Endpoint], None]
@@ -121,13 +121,13 @@
         self._keep(endpoint, connection, until=now + PROBED_IDLE_SECONDS)
 
     async def _probe(
-        self, endpoint: Endpoint, note_dark: Callable[[Endpoint], None]
+        self, endpoint: Endpoint, note_unreachable: Callable[[Endpoint], None]
     ) -> None:
         try:
             connection = await _connect_twice(endpoint.address)
         except ConnectError as error:
             log.info("pool: {} is out of reach: {}", endpoint.name, error)
-            note_dark(endpoint)
+            note_unreachable(endpoint)
             self.forget(lifetime=endpoint.lifetime)
             for one in self._busy.get(endpoint, ()):
                 if one.is_repeatable:
@@ -146,7 +146,12 @@
         return None
 
     def give_back(
-        self, *, endpoint: Endpoint, connection: Connection, head: Head, now: float
+        self,
+        *,
+        endpoint: Endpoint,
+        connection: Connection,
+        head: ResponseHead,
+        now: float,
     ) -> None:
         """Keep a connection whose answer was whole, or close it."""
         if head.will_close or not connection.release():
--- a/eelgrassrack/gateway/retries.py
+++ b/eelgrassrack/gateway/retries.py
@@ -12,7 +12,7 @@
     repeats: int
 
 
-class RecentSends:
+class RetryWindow:
     """Count requests and repeats over a sliding window of `seconds`."""
 
     __slots__ = ("_repeats", "_requests", "_seconds")
--- a/eelgrassrack/gateway/rollouts.py
+++ b/eelgrassrack/gateway/rollouts.py
@@ -107,7 +107,7 @@
                 case _:
                     log.warning("rollout: order {} can't be read: {}", name, found)
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Take over changed settings."""
         self._settings = settings
 
--- a/eelgrassrack/gateway/serving.py
+++ b/eelgrassrack/gateway/serving.py
@@ -15,13 +15,13 @@
 from ..decisions.sharedbudget import allow_retry
 from ..decisions.stopping import Readiness, find_retry_after, may_take
 from .attempts import Attempts
+from .configuration import Permit, Router
 from .endpoints import Endpoint
 from .job import Delivered, Failed, Job, Lost, NotRun, Outcome, Standing, Unsure
 from .messages import Arrival, Refusal
 from .metrics import GatewayMetrics
-from .placing import Placing
-from .plan import Permit, Router
-from .pool import Pool
+from .placing import Placer
+from .pool import ConnectionPool
 from .reply import Reply
 from .requestlog import (
     log_attempt,
@@ -30,7 +30,7 @@
     log_late,
     log_refusal,
 )
-from .retries import RecentSends
+from .retries import RetryWindow
 from .settings import GatewaySettings
 from .translation import Translation
 
@@ -51,21 +51,21 @@
 LEARN_LOOK_SECONDS = 0.02
 
 
-class Serving:
+class RequestHandler:
     """Serve requests."""
 
     __slots__ = (
         "_attempts",
         "_ends_at",
         "_is_bounded",
-        "_is_learning",
+        "_is_loading",
         "_loop",
         "_metrics",
         "_open",
-        "_placing",
+        "_placer",
         "_sends",
         "_settings",
-        "_tell_readiness",
+        "_get_readiness",
         "router",
     )
 
@@ -73,20 +73,20 @@
         self,
         *,
         router: Router,
-        placing: Placing,
-        pool: Pool,
+        placer: Placer,
+        pool: ConnectionPool,
         translation: Translation,
         metrics: GatewayMetrics,
         settings: GatewaySettings,
-        is_learning: Callable[[], bool],
-        tell_readiness: Callable[[], Readiness],
+        is_loading: Callable[[], bool],
+        get_readiness: Callable[[], Readiness],
     ) -> None:
         self.router = router
-        self._is_learning = is_learning
-        self._tell_readiness = tell_readiness
-        self._placing = placing
+        self._is_loading = is_loading
+        self._get_readiness = get_readiness
+        self._placer = placer
         self._attempts = Attempts(
-            placing=placing,
+            placer=placer,
             pool=pool,
             translation=translation,
             metrics=metrics,
@@ -94,13 +94,13 @@
         )
         self._metrics = metrics
         self._settings = settings
-        self._sends: dict[str, RecentSends] = {}
+        self._sends: dict[str, RetryWindow] = {}
         self._loop = asyncio.get_running_loop()
         self._ends_at = math.inf
         self._is_bounded = False
         self._open: dict[asyncio.Timeout, Job] = {}
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Take over changed settings."""
         self._settings = settings
 
@@ -119,7 +119,7 @@
         )
         self._find_sends(verdict.service.name).note_request(self._loop.time())
         if not self._may_take(job):
-            await self.refuse(arrival, reply, self.tell_stopping())
+            await self.refuse(arrival, reply, self.make_stopping_refusal())
             return
         job.deadline = min(job.deadline, self._ends_at)
         if job.has_choice:
@@ -151,9 +151,9 @@
             await asyncio.sleep(LEARN_LOOK_SECONDS)
 
     def _may_learn(self) -> bool:
-        return self._is_learning() and math.isinf(self._ends_at)
+        return self._is_loading() and math.isinf(self._ends_at)
 
-    def end_by(self, time: float) -> None:
+    def set_end(self, time: float) -> None:
         """Have everything answered by a time of the loop, at which this process ends.
 
         What is under way or comes, and might take longer, is given until then.
@@ -164,16 +164,16 @@
                 job.deadline = time
                 limit.reschedule(time)
 
-    def refuse_unbounded(self) -> None:
+    def refuse_unfinishable(self) -> None:
         """Take from now on only what is surely over before this process ends."""
         self._is_bounded = True
 
-    def tell_stopping(self, *, status: int = 503) -> Refusal:
+    def make_stopping_refusal(self, *, status: int = 503) -> Refusal:
         """Send a caller on to the entries that are ready, or will be."""
         return Refusal(
             status=status,
             reason="stopping",
-            retry_after=find_retry_after(self._tell_readiness()),
+            retry_after=find_retry_after(self._get_readiness()),
         )
 
     def _may_take(self, job: Job) -> bool:
@@ -195,12 +195,12 @@
             is_repeatable=route.is_repeatable and not job.resume_after,
             objective=route.objective,
             remaining=job.deadline - self._loop.time(),
-            estimate=lambda one: self._placing.estimate(job, one),
+            estimate=lambda one: self._placer.estimate(job, one),
         )
 
     async def _run(self, job: Job, reply: Reply) -> None:
         while True:
-            placed = await self._placing.place(job)
+            placed = await self._placer.place(job)
             if isinstance(placed, Refusal):
                 await self._conclude(job, reply, placed)
                 return
@@ -259,7 +259,7 @@
             repeats=counts.repeats,
             ratio=self._settings.retry_ratio,
             slack=self._settings.retry_slack,
-            entries=self._placing.entries,
+            entries=self._placer.entries,
         )
 
     def _note_outcome(self, job: Job, endpoint: Endpoint, outcome: Outcome) -> None:
@@ -268,16 +268,16 @@
         match outcome:
             case Delivered():
                 self._note_answer(job, endpoint, failed=False)
-                self._placing.note_whole(job)
+                self._placer.note_whole(job)
                 self._note_end(job, "answered")
             case Unsure():
                 job.note(Standing.RAN)
                 self._note_answer(job, endpoint, failed=False)
             case NotRun(is_down=is_down):
-                self._placing.evidence.note_not_run(job, endpoint, is_down=is_down)
+                self._placer.evidence.note_not_run(job, endpoint, is_down=is_down)
             case Lost():
                 job.note(Standing.UNKNOWN)
-                self._placing.evidence.note_lost(job, endpoint)
+                self._placer.evidence.note_lost(job, endpoint)
             case Failed():
                 job.note(Standing.RAN)
                 job.failure = outcome
@@ -285,7 +285,7 @@
 
     def _note_answer(self, job: Job, endpoint: Endpoint, *, failed: bool) -> None:
         first_at = job.first_at or self._loop.time()
-        self._placing.evidence.note_answer(
+        self._placer.evidence.note_answer(
             job, endpoint, failed=failed, seconds=max(first_at - job.sent_at, 0.0)
         )
 
@@ -323,7 +323,7 @@
         """Return the answer to a request whose time is over."""
         status = 503 if job.attempts == 0 else 504
         if job.deadline == self._ends_at:
-            return self.tell_stopping(status=status)
+            return self.make_stopping_refusal(status=status)
         return Refusal(
             status=status, reason="time limit", retry_after=COME_BACK_SECONDS
         )
@@ -347,18 +347,18 @@
         self._metrics.took(now - job.arrival.arrived, "whole")
         log_end(job, end, reason=reason, now=now)
 
-    def _find_sends(self, service: str) -> RecentSends:
+    def _find_sends(self, service: str) -> RetryWindow:
         sends = self._sends.get(service)
         if sends is None:
-            sends = RecentSends(seconds=self._settings.retry_window_seconds)
+            sends = RetryWindow(seconds=self._settings.retry_window_seconds)
             self._sends[service] = sends
         return sends
 
 
 def _find_deadline(arrival: Arrival, permit: Permit) -> float:
     limit = permit.route.timeout or USUAL_LIMIT_SECONDS
-    if arrival.patience is not None:
-        limit = min(limit, arrival.patience)
+    if arrival.timeout is not None:
+        limit = min(limit, arrival.timeout)
     return arrival.arrived + limit
 
 
--- a/eelgrassrack/gateway/sharing.py
+++ b/eelgrassrack/gateway/sharing.py
@@ -14,8 +14,8 @@
 
 from ..store.http import Answer, HttpCaller
 from .beliefs import RolloutOrder
+from .configuration import Configuration
 from .endpoints import Endpoint
-from .plan import Plan
 
 log = logbook.Logger("sharing")
 
@@ -54,7 +54,7 @@
     the configuration takes more bytes than all else.
     """
 
-    plan: Plan | None
+    plan: Configuration | None
     endpoints: tuple[Endpoint, ...] | None
     evacuated: tuple[str, ...] | None
     orders: tuple[RolloutOrder, ...] | None
--- a/eelgrassrack/gateway/translation.py
+++ b/eelgrassrack/gateway/translation.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from .messages import Arrival, Head
+from .messages import Arrival, ResponseHead
 
 
 class Translation(Protocol):
@@ -26,5 +26,5 @@
     ) -> list[tuple[str, str]]:
         """Return the header fields for an endpoint; `remaining` is in seconds."""
 
-    def decode_head(self, *, status: int, reason: str, pairs: object) -> Head:
+    def decode_head(self, *, status: int, reason: str, pairs: object) -> ResponseHead:
         """Return the head of an endpoint's answer."""
--- a/eelgrassrack/platform/headers.py
+++ b/eelgrassrack/platform/headers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from ..gateway.messages import Arrival, Head, Load, Part
+from ..gateway.messages import Arrival, EndpointLoad, PromptPart, ResponseHead
 from ..hopbyhop import HOP_BY_HOP
 
 ATTEMPT = "X-Attempt-Id"
@@ -76,7 +76,7 @@
         headers=tuple(pair for pair in kept if pair[0].lower() not in listed),
         arrived=now,
         key=_decode_key(named.get("authorization", "")),
-        patience=_decode_milliseconds(named.get("x-deadline-ms", "")),
+        timeout=_decode_milliseconds(named.get("x-deadline-ms", "")),
         model=named.get("x-model", ""),
         tokens_in=tokens_in,
         tokens_out=tokens_out,
@@ -116,7 +116,9 @@
     return pairs
 
 
-def decode_head(*, status: int, reason: str, pairs: Iterable[tuple[str, str]]) -> Head:
+def decode_head(
+    *, status: int, reason: str, pairs: Iterable[tuple[str, str]]
+) -> ResponseHead:
     """Return the head of an endpoint's answer."""
     kept = []
     named: dict[str, str] = {}
@@ -127,7 +129,7 @@
             kept.append((name, value))
     listed = _list_tokens(named.get("connection", ""))
     content_type = named.get("content-type", "")
-    return Head(
+    return ResponseHead(
         status=status,
         reason=reason,
         headers=tuple(pair for pair in kept if pair[0].lower() not in listed),
@@ -167,19 +169,19 @@
     return int(fields[0]), int(fields[1])
 
 
-def _decode_parts(value: str) -> tuple[Part, ...]:
+def _decode_parts(value: str) -> tuple[PromptPart, ...]:
     """Return the parts of a prompt; a list that can't be read is none."""
     pairs = [item.strip().split(":") for item in value.split(",") if item.strip()]
     if not all(len(pair) == 2 and pair[1].isdecimal() for pair in pairs):
         return ()
-    return tuple(Part(name, int(tokens)) for name, tokens in pairs)
+    return tuple(PromptPart(name, int(tokens)) for name, tokens in pairs)
 
 
-def _decode_load(value: str) -> Load | None:
+def _decode_load(value: str) -> EndpointLoad | None:
     fields = value.split(",")
     if len(fields) != 3 or not all(one.strip().isdecimal() for one in fields):
         return None
-    return Load(*(int(one) for one in fields))
+    return EndpointLoad(*(int(one) for one in fields))
 
 
 def _decode_count(value: str) -> int | None:
--- a/eelgrassrack/platform/manifest.py
+++ b/eelgrassrack/platform/manifest.py
@@ -2,14 +2,21 @@
 
 import msgspec
 
-from ..gateway.messages import Kind
-from ..gateway.plan import Limits, Organisation, Plan, Route, Service, Target
+from ..gateway.configuration import (
+    Configuration,
+    Limits,
+    Organisation,
+    Route,
+    Service,
+    Target,
+)
+from ..gateway.messages import RouteKind
 from .errors import FormatError
 
 KINDS = {
-    "idempotent": Kind.IDEMPOTENT,
-    "non_idempotent": Kind.NON_IDEMPOTENT,
-    "streaming": Kind.STREAM,
+    "idempotent": RouteKind.IDEMPOTENT,
+    "non_idempotent": RouteKind.NON_IDEMPOTENT,
+    "streaming": RouteKind.STREAM,
 }
 MILLISECONDS = 1000.0
 
@@ -93,7 +100,7 @@
     tenants: tuple[WireOrganisation, ...] | None = None
 
 
-def decode_manifest(data: msgspec.Raw | bytes) -> Plan:
+def decode_manifest(data: msgspec.Raw | bytes) -> Configuration:
     """Return the plan; raise `FormatError` if it can't be read."""
     try:
         wire = msgspec.json.decode(data, type=WireManifest)
@@ -101,7 +108,7 @@
     except (msgspec.DecodeError, KeyError) as error:
         raise FormatError(f"a manifest that can't be read: {error}") from error
     organisations = wire.tenants or ()
-    return Plan(
+    return Configuration(
         version=wire.version,
         routes=routes,
         services={one.name: _decode_service(one) for one in wire.services},
--- a/test/decisions/test_sharedbudget.py
+++ b/test/decisions/test_sharedbudget.py
@@ -10,7 +10,7 @@
     allow_retry,
     share_cold_rate,
 )
-from eelgrassrack.gateway.retries import RecentSends
+from eelgrassrack.gateway.retries import RetryWindow
 
 WINDOW = 10.0
 
@@ -34,7 +34,7 @@
     most here, as a platform that replaces instances does.
     """
     entries = 5
-    sends = {number: RecentSends(seconds=WINDOW) for number in range(entries)}
+    sends = {number: RetryWindow(seconds=WINDOW) for number in range(entries)}
     restarted = dict.fromkeys(range(entries), float("-inf"))
     requests, repeats = collections.deque(), collections.deque()
     now = 0.0
@@ -43,7 +43,7 @@
         if kind == "restart" and sum(at > now - WINDOW for at in restarted.values()):
             continue
         if kind == "restart":
-            sends[entry] = RecentSends(seconds=WINDOW)
+            sends[entry] = RetryWindow(seconds=WINDOW)
             restarted[entry] = now
             continue
         if kind == "request":
--- a/test/gateway/test_cold_starts.py
+++ b/test/gateway/test_cold_starts.py
@@ -5,7 +5,7 @@
 
 from eelgrassrack.gateway import daemon, pool
 from eelgrassrack.gateway.exchange import open_connection
-from eelgrassrack.gateway.placing import Placing
+from eelgrassrack.gateway.placing import Placer
 from eelgrassrack.platform.store import PlatformStore
 
 from .world import make_world, run, wait_for
@@ -30,13 +30,13 @@
     What is held up on its way arrives nearer to the next one than it was sent.
     """
     times = {}
-    note_sent = Placing.note_sent
+    note_sent = Placer.note_sent
 
     def note(placing, job, endpoint):
         times[job.arrival.id] = time.monotonic()
         note_sent(placing, job, endpoint)
 
-    monkeypatch.setattr(Placing, "note_sent", note)
+    monkeypatch.setattr(Placer, "note_sent", note)
     return times
 
 
--- a/test/gateway/test_endpoints.py
+++ b/test/gateway/test_endpoints.py
@@ -64,7 +64,7 @@
             await world.add_engine("e1", slots=1)
             await world.start_gateway()
             await world.wait_ready()
-            got = await world.call("/issue/1", patience_ms=900)
+            got = await world.call("/issue/1", timeout_ms=900)
             assert got.status == 504
             for number in range(4):
                 got = await world.call("/issue/2", attempt=f"b{number}")
--- a/test/gateway/test_follower.py
+++ b/test/gateway/test_follower.py
@@ -201,7 +201,7 @@
             gateway = await world.start_gateway()
             await world.wait_ready()
             before = gateway.fleet.find("e1")
-            before.own = 5
+            before.own_running = 5
             world.list_engine("e1", born=2_000, coldRemainingMs=3_000)
             await wait_for(lambda: gateway.fleet.find("e1") is not before)
             after = gateway.fleet.find("e1")
--- a/test/gateway/test_guards.py
+++ b/test/gateway/test_guards.py
@@ -13,12 +13,12 @@
     ingress,
     placing,
 )
+from eelgrassrack.gateway.configuration import Router
 from eelgrassrack.gateway.events import Events, EventSplitter
 from eelgrassrack.gateway.exchange import Connection
 from eelgrassrack.gateway.ingress import Ingress
 from eelgrassrack.gateway.job import Job
-from eelgrassrack.gateway.plan import Router
-from eelgrassrack.gateway.pool import Pool
+from eelgrassrack.gateway.pool import ConnectionPool
 from eelgrassrack.platform import headers
 
 from . import (
@@ -47,7 +47,7 @@
 
 def take_any(router, plan):
     """Take over a configuration whatever its version."""
-    router.plan = plan
+    router.configuration = plan
     router._routes = plan.index_routes()
     return True
 
@@ -92,7 +92,7 @@
         test_stop.test_a_request_that_lies_unread_isnt_closed_with_the_idle,
     ),
     "only newer configurations are taken": (
-        [(Router, "take", take_any)],
+        [(Router, "update", take_any)],
         test_follower.test_only_newer_configurations_are_taken,
     ),
     "an overdue watch is given up": (
@@ -104,7 +104,7 @@
         test_cold_starts.test_more_gateways_than_a_cold_endpoint_bears_requests_a_second,
     ),
     "an endpoint that broke a connection is checked": (
-        [(Pool, "check", lambda pool, **_: None)],
+        [(ConnectionPool, "check", lambda pool, **_: None)],
         test_crashes.test_what_crashed_three_endpoints_is_known_though_nobody_came_by,
     ),
     "entries that lapsed are kept for a while": (
--- a/test/gateway/test_last_words.py
+++ b/test/gateway/test_last_words.py
@@ -14,7 +14,7 @@
     DEAF_SECONDS,
     ROTATION_SECONDS,
 )
-from eelgrassrack.gateway.ingress import FIRST_SECONDS
+from eelgrassrack.gateway.ingress import FIRST_REQUEST_SECONDS
 from eelgrassrack.standins.directengine import Hang, Reply
 
 from .world import KEY, call, connect, make_world, run, wait_for
@@ -171,7 +171,7 @@
                 caller.send("/issue/1", attempt="a1")
                 assert (await caller.read()).status == 200
             await wait_for(lambda: gateway.ingress.idle_connections)
-            await asyncio.sleep(FIRST_SECONDS + 0.05)
+            await asyncio.sleep(FIRST_REQUEST_SECONDS + 0.05)
             gateway.ingress.close_idle()
             caller.send("/issue/2", attempt="a2")
             assert (await caller.read()).status == 408
@@ -200,7 +200,7 @@
         async with make_stopping(Hang(), Reply(), after=1.0) as (world, _, stopping):
             address = world.settings[0].listen
             working = await connect(address)
-            working.send("/issue/1", attempt="working", patience_ms=20_000)
+            working.send("/issue/1", attempt="working", timeout_ms=20_000)
             halfway = await connect(address)
             halfway.writer.write(HALF.encode())
             await asyncio.sleep(after - 1.2)
--- a/test/gateway/test_late_arrivals.py
+++ b/test/gateway/test_late_arrivals.py
@@ -21,9 +21,9 @@
     Reply,
 )
 
-from .world import Got, connect, make_world, run
+from .world import CallerResponse, connect, make_world, run
 
-LONG_PATIENCE_MS = 8_000
+LONG_TIMEOUT_MS = 8_000
 
 PERSISTENT_CALLERS = 10
 
@@ -38,7 +38,7 @@
     """Send a request so long after a gateway is told to stop; return the answer."""
     gateway = world.gateways[0]
     keeping = await connect(world.settings[0].listen)
-    keeping.send("/once/keep", patience_ms=LONG_PATIENCE_MS)
+    keeping.send("/once/keep", timeout_ms=LONG_TIMEOUT_MS)
     await asyncio.sleep(0.1)
     stopping = asyncio.ensure_future(gateway.stop())
     await asyncio.sleep(after)
@@ -69,7 +69,7 @@
                 "/chat/late",
                 after=ROTATION_SECONDS + 0.6,
                 headers=SHORT_ANSWER,
-                patience_ms=LONG_PATIENCE_MS,
+                timeout_ms=LONG_TIMEOUT_MS,
             )
             assert got.is_whole
 
@@ -113,7 +113,7 @@
             await world.start_gateway()
             await world.wait_ready()
             got = await ask_stopping(
-                world, "/final/late", after=2.0, patience_ms=LONG_PATIENCE_MS
+                world, "/final/late", after=2.0, timeout_ms=LONG_TIMEOUT_MS
             )
             assert got.is_whole
             assert got.status == 504
@@ -127,7 +127,7 @@
     """A stopping gateway ends while an endpoint still takes no connection."""
 
     async def never_open(**_):
-        await asyncio.sleep(LONG_PATIENCE_MS / 1_000)
+        await asyncio.sleep(LONG_TIMEOUT_MS / 1_000)
 
     async def main():
         async with make_world() as world:
@@ -136,12 +136,12 @@
             gateway = await world.start_gateway()
             await world.wait_ready()
             keeping = await connect(world.settings[0].listen)
-            keeping.send("/once/keep", patience_ms=LONG_PATIENCE_MS)
+            keeping.send("/once/keep", timeout_ms=LONG_TIMEOUT_MS)
             await asyncio.sleep(0.1)
             monkeypatch.setattr(pool, "open_connection", never_open)
             stopping = asyncio.ensure_future(gateway.stop())
             await asyncio.sleep(ROTATION_SECONDS - 0.3)
-            assert (await world.call("/chat/late", patience_ms=8_000)).status == 503
+            assert (await world.call("/chat/late", timeout_ms=8_000)).status == 503
             await stopping
             keeping.close()
 
@@ -209,7 +209,7 @@
     kind: str
     patience: float
     seconds: float
-    got: Got
+    got: CallerResponse
 
 
 async def ask_late(world, dice, number):
@@ -221,20 +221,20 @@
     except ConnectionError:
         return None
     kind = dice.choice(PATHS)
-    patience_ms = dice.choice((700, 1_500, LONG_PATIENCE_MS))
+    timeout_ms = dice.choice((700, 1_500, LONG_TIMEOUT_MS))
     began = time.monotonic()
     caller.send(
         f"{kind}{number}",
         attempt=str(number),
         headers=SHORT_ANSWER,
-        patience_ms=patience_ms,
+        timeout_ms=timeout_ms,
     )
     got = await caller.read()
     caller.close()
     return Told(
         attempt=str(number),
         kind=kind,
-        patience=patience_ms / 1_000,
+        patience=timeout_ms / 1_000,
         seconds=time.monotonic() - began,
         got=got,
     )
@@ -256,7 +256,7 @@
             gateway = await world.start_gateway()
             await world.wait_ready()
             keeping = await connect(world.settings[0].listen)
-            keeping.send("/once/keep", patience_ms=LONG_PATIENCE_MS)
+            keeping.send("/once/keep", timeout_ms=LONG_TIMEOUT_MS)
             await asyncio.sleep(0.1)
             stopping = asyncio.ensure_future(gateway.stop())
             asking = (ask_late(world, dice, number) for number in range(CALLERS))
--- a/test/gateway/test_odd_models.py
+++ b/test/gateway/test_odd_models.py
@@ -5,7 +5,7 @@
 from eelgrassrack.platform.store import Kinds
 from eelgrassrack.standins.directengine import Events
 
-from .world import ASK, make_manifest, make_world, run
+from .world import ANY_MODEL_HEADERS, make_manifest, make_world, run
 
 
 def make_costs(costs):
@@ -43,7 +43,9 @@
             await world.start_gateway()
             await world.wait_ready()
             for number in range(3):
-                got = await world.call("/chat/1", headers=ASK, attempt=f"a{number}")
+                got = await world.call(
+                    "/chat/1", headers=ANY_MODEL_HEADERS, attempt=f"a{number}"
+                )
                 assert got.status == 200
                 assert got.is_whole
 
@@ -60,7 +62,7 @@
             await world.add_engine("e1", first, Events(count=3), service="models")
             await world.start_gateway()
             await world.wait_ready()
-            got = await world.call("/chat/1", headers=ASK)
+            got = await world.call("/chat/1", headers=ANY_MODEL_HEADERS)
             assert got.status == 200
             assert got.is_whole
 
--- a/test/gateway/test_stop.py
+++ b/test/gateway/test_stop.py
@@ -7,7 +7,7 @@
 import pytest
 
 from eelgrassrack.gateway.daemon import ROTATION_SECONDS
-from eelgrassrack.gateway.ingress import FIRST_SECONDS, Ingress
+from eelgrassrack.gateway.ingress import FIRST_REQUEST_SECONDS, Ingress
 from eelgrassrack.lingering import NOT_READ
 from eelgrassrack.standins.directengine import Events, Reply
 
@@ -213,7 +213,7 @@
             gateway = await world.start_gateway()
             caller = await connect(world.settings[0].listen)
             await wait_for(lambda: gateway.ingress.idle_connections)
-            await asyncio.sleep(FIRST_SECONDS + 0.05)
+            await asyncio.sleep(FIRST_REQUEST_SECONDS + 0.05)
             gateway.ingress.close_idle()
             assert await asyncio.wait_for(caller.reader.read(), 2) == NOT_READ
             caller.close()
@@ -245,7 +245,7 @@
             gateway = await world.start_gateway()
             await world.wait_ready()
             caller = await connect(world.settings[0].listen)
-            caller.send("/look/1", patience_ms=30_000)
+            caller.send("/look/1", timeout_ms=30_000)
             await wait_for(lambda: gateway.ingress.open_requests)
             await asyncio.wait_for(gateway.stop(), 6.0)
             caller.close()
@@ -267,7 +267,7 @@
             await asyncio.sleep(0.1)
             stopping = asyncio.ensure_future(gateway.stop())
             await asyncio.sleep(3.2)
-            got = await world.call(attempt="late", patience_ms=1_000)
+            got = await world.call(attempt="late", timeout_ms=1_000)
             assert got.status == 200
             assert (await streaming.read()).is_whole
             await stopping
@@ -300,7 +300,7 @@
             assert float(got.headers["retry-after"]) > 0
             short = [("X-Token-Usage", "1000,20")]
             assert (await world.call("/chat/2", headers=short)).status == 503
-            got = await world.call("/chat/3", headers=short, patience_ms=2_000)
+            got = await world.call("/chat/3", headers=short, timeout_ms=2_000)
             assert got.status == 200
             assert [one.target for one in engine.runs] == ["/once/1", "/chat/3"]
             await stopping
--- a/test/gateway/test_streams.py
+++ b/test/gateway/test_streams.py
@@ -8,7 +8,7 @@
 )
 
 from .world import (
-    ASK,
+    ANY_MODEL_HEADERS,
     call,
     connect,
     make_manifest,
@@ -90,7 +90,7 @@
             )
             await world.start_gateway()
             await world.wait_ready()
-            got = await world.call("/chat/1", headers=ASK)
+            got = await world.call("/chat/1", headers=ANY_MODEL_HEADERS)
             assert got.is_whole
             assert got.body.count(b"\n\n") == 3
             assert [one.model for one in engine.runs] == ["small", "large"]
--- a/test/gateway/world.py
+++ b/test/gateway/world.py
@@ -20,7 +20,7 @@
 MODELS = ("small", "middle", "large")
 
 # The headers of a request that leaves the choice of the model to the gateway.
-ASK = (
+ANY_MODEL_HEADERS = (
     ("X-Model", "*"),
     ("X-Token-Usage", "1000,50"),
     ("X-Prompt-Prefix", "aa:400,bb:600"),
@@ -203,14 +203,14 @@
         body=b"ask",
         attempt="a1",
         key=KEY,
-        patience_ms=5_000,
+        timeout_ms=5_000,
         headers=(),
     ):
         lines = [
             f"{method} {path} HTTP/1.1",
             f"Host: {HOST}",
             f"X-Attempt-Id: {attempt}",
-            f"X-Deadline-Ms: {patience_ms}",
+            f"X-Deadline-Ms: {timeout_ms}",
             f"Content-Length: {len(body)}",
         ]
         if key:
@@ -227,8 +227,8 @@
         headers = {name.lower(): value for name, value in pairs}
         if "content-length" in headers:
             body = await self.reader.readexactly(int(headers["content-length"]))
-            return Got(status, headers, body, True)
-        return Got(status, headers, *await self._read_chunks())
+            return CallerResponse(status, headers, body, True)
+        return CallerResponse(status, headers, *await self._read_chunks())
 
     async def _read_chunks(self):
         body = b""
@@ -245,7 +245,7 @@
         self.writer.close()
 
 
-class Got(msgspec.Struct, frozen=True):
+class CallerResponse(msgspec.Struct, frozen=True):
     """What a caller got."""
 
     status: int
--- a/test/platform/test_formats.py
+++ b/test/platform/test_formats.py
@@ -11,7 +11,7 @@
 import eelgrassrack
 from eelgrassrack.gateway.beliefs import RolloutState, RolloutStatus
 from eelgrassrack.gateway.endpoints import Endpoint
-from eelgrassrack.gateway.messages import Kind, Load, Part
+from eelgrassrack.gateway.messages import EndpointLoad, PromptPart, RouteKind
 from eelgrassrack.platform import headers, objects
 from eelgrassrack.platform.errors import FormatError
 from eelgrassrack.platform.manifest import decode_manifest
@@ -81,13 +81,13 @@
         "/a/b",
         "/a/b?c",
     )
-    assert (arrival.id, arrival.patience, arrival.key) == ("a1", 2.5, "key")
+    assert (arrival.id, arrival.timeout, arrival.key) == ("a1", 2.5, "key")
     assert (arrival.tokens_in, arrival.tokens_out, arrival.length_hint) == (
         1460,
         80,
         20,
     )
-    assert arrival.parts == (Part("5c", 800), Part("91", 410))
+    assert arrival.parts == (PromptPart("5c", 800), PromptPart("91", 410))
     assert (arrival.model, arrival.session, arrival.resume_after) == ("*", "s", "12")
 
 
@@ -112,7 +112,7 @@
     arrival = headers.decode_arrival(
         method="GET", target="/", pairs=fields.items(), now=0.0
     )
-    assert arrival.patience is None or arrival.patience >= 0
+    assert arrival.timeout is None or arrival.timeout >= 0
     assert all(part.tokens >= 0 for part in arrival.parts)
 
 
@@ -175,7 +175,7 @@
     )
     assert found.is_whole
     assert found.is_event_stream
-    assert found.load == Load(3, 1, 8)
+    assert found.load == EndpointLoad(3, 1, 8)
     assert (found.keep_alive, found.will_close, found.confidence) == (5.0, True, 40)
     assert ("X-Server-Stamp", "s") in found.headers
     assert "Keep-Alive" not in dict(found.headers)
@@ -193,7 +193,7 @@
     plan = decode_manifest(msgspec.json.encode(make_manifest(version=4)))
     routes = {route.name: route for route in plan.routes}
     assert plan.version == 4
-    assert routes["chat"].kind is Kind.STREAM
+    assert routes["chat"].kind is RouteKind.STREAM
     assert routes["chat"].is_repeatable
     assert not routes["once"].is_repeatable
     assert routes["short"].timeout == 0.3
