--- a/bench/gatewayslopes.py
+++ b/bench/gatewayslopes.py
@@ -15,13 +15,13 @@
 from eelgrassrack.decisions.fairshare import Heavy, Told
 from eelgrassrack.gateway.endpoints import Endpoint
 from eelgrassrack.gateway.endpointstate import EndpointState
-from eelgrassrack.gateway.news import (
+from eelgrassrack.gateway.peerupdates import (
     FULL_RATE_PEERS,
-    NEWS_SECONDS,
-    BacklogNews,
-    FlightNews,
-    News,
-    NewsExchange,
+    UPDATE_SECONDS,
+    BacklogReport,
+    EndpointReport,
+    PeerUpdate,
+    UpdateExchange,
 )
 
 SIZES = (9, 29, 580)
@@ -40,11 +40,11 @@
     for size in SIZES:
         took = measure(lambda size=size: _choose(size))
         print(f"choose among {size} engines: {took:.0f} us")
-    news = _make_news()
+    news = _make_update()
     data = msgspec.msgpack.encode(news)
     print(f"news with 8 flights: {len(data)} bytes")
     print(f"encode news: {measure(lambda: msgspec.msgpack.encode(news)):.1f} us")
-    took = measure(lambda: msgspec.msgpack.decode(data, type=News))
+    took = measure(lambda: msgspec.msgpack.decode(data, type=PeerUpdate))
     print(f"decode news: {took:.1f} us")
     print(f"an endpoint: {_weigh_endpoint():.0f} bytes")
     for gateways, domains in FLEETS:
@@ -83,8 +83,8 @@
     )
 
 
-def _make_news() -> News:
-    return News(
+def _make_update() -> PeerUpdate:
+    return PeerUpdate(
         name="edge-great-lakes-12",
         lifetime="0011aabb",
         port=7340,
@@ -92,8 +92,9 @@
         configuration=80,
         knows_store=True,
         revisions=(4_000, 4_100, 4_200, 4_300),
-        flights=tuple(
-            FlightNews(2**31 + n, 3, (BacklogNews(4, 120),), 250, 40) for n in range(8)
+        endpoints=tuple(
+            EndpointReport(2**31 + n, 3, (BacklogReport(4, 120),), 250, 40)
+            for n in range(8)
         ),
         usage=Told(1_200, tuple(Heavy(f"tenant{n}", 300) for n in range(4))),
     )
@@ -120,13 +121,13 @@
 async def _count_news(gateways: int, domains: int) -> tuple[float, float]:
     """Return the kilobytes a second that one gateway sends near and far."""
     line = Line()
-    exchange = NewsExchange(
+    exchange = UpdateExchange(
         name="me",
         domain="near",
         address=("me", 7),
         seeds=(),
-        make_news=lambda **_: _make_news(),
-        take_news=lambda news: None,
+        make_update=lambda **_: _make_update(),
+        receive_update=lambda news: None,
     )
     exchange.connection_made(line)
     peers = gateways - 1
@@ -134,12 +135,12 @@
     for number in range(peers):
         domain = "near" if number < near else "far"
         name = f"{domain}{number}"
-        news = News(name, "life", 7, 1, 1, True, domain=domain)
+        news = PeerUpdate(name, "life", 7, 1, 1, True, domain=domain)
         exchange.datagram_received(msgspec.msgpack.encode(news), (name, 7))
     for _ in range(NEWS_ROUNDS):
         exchange.send()
     told = line.datagrams / NEWS_ROUNDS
-    seconds = NEWS_ROUNDS * NEWS_SECONDS * max(1.0, told / FULL_RATE_PEERS)
+    seconds = NEWS_ROUNDS * UPDATE_SECONDS * max(1.0, told / FULL_RATE_PEERS)
     return line.near / seconds / 1_000, line.far / seconds / 1_000
 
 
--- a/bench/plays/mechanisms.py
+++ b/bench/plays/mechanisms.py
@@ -91,8 +91,8 @@
     ),
     _make(
         "news of load",
-        "gateway/flightnews",
-        "def tell_flights(fleet, now):\n    return ()\n",
+        "gateway/endpointreports",
+        "def report_endpoints(fleet, now):\n    return ()\n",
     ),
     _make(
         "probes of silent endpoints",
@@ -106,8 +106,8 @@
     ),
     _make(
         "passing over what failed",
-        "gateway/evidence",
-        "Evidence._shun = lambda self, flight: None\n",
+        "gateway/passivehealth",
+        "PassiveHealthCheck._avoid = lambda self, state: None\n",
     ),
 )
 
--- a/eelgrassrack/gateway/attempts.py
+++ b/eelgrassrack/gateway/attempts.py
@@ -5,10 +5,10 @@
 
 from ..decisions.modelchoice import choose_next
 from ..decisions.timeouts import find_first_timeout, find_gap_timeout
+from .connection import Connection
 from .endpoints import Endpoint
 from .errors import BrokenError, ConnectError
 from .events import EventSplitter, skip_known
-from .exchange import Connection
 from .job import Delivered, Failed, Job, Lost, NotRun, Outcome, Unsure
 from .messages import Data, End, ResponseHead
 from .metrics import GatewayMetrics
@@ -71,9 +71,7 @@
             job.attempts -= 1
             return NotRun(reason=str(error), is_down=True)
         except BrokenError as error:
-            self._pool.check(
-                endpoint=endpoint, note_down=self._placer.evidence.note_down
-            )
+            self._pool.check(endpoint=endpoint, note_down=self._placer.health.note_down)
             return Lost(reason=str(error))
         except asyncio.CancelledError:
             if connection is None:
@@ -90,8 +88,8 @@
 
     def _count_bytes(self, endpoint: Endpoint, connection: Connection) -> None:
         if not self._placer.is_near(endpoint):
-            self._metrics.crossed(connection.sent, "requests")
-            self._metrics.crossed(connection.received, "answers")
+            self._metrics.count_crossed(connection.sent, "requests")
+            self._metrics.count_crossed(connection.received, "answers")
 
     def _note_silence(self, job: Job, endpoint: Endpoint) -> None:
         """Learn from an attempt that was ended before anything came back.
@@ -106,7 +104,7 @@
             expected=job.expected, has_prompt=bool(job.arrival.tokens_in)
         )
         if self._loop.time() > job.sent_at + longest:
-            self._placer.evidence.note_silent(endpoint)
+            self._placer.health.note_silent(endpoint)
 
     def _send(self, job: Job, endpoint: Endpoint, connection: Connection) -> None:
         arrival = job.arrival
--- a/eelgrassrack/gateway/exchange.py
+++ b/eelgrassrack/gateway/connection.py
@@ -33,7 +33,7 @@
 class Connection:
     """A connection to one endpoint, used for one request at a time.
 
-    `heard_at` is when bytes last came on it, or when a request was sent;
+    `active_at` is when bytes last came on it, or when a request was sent;
     `sent` and `received` are the bytes of the request under way.
     `is_kept` says that it is with the pool again, `is_repeatable` that the
     request under way may run elsewhere too.
@@ -44,7 +44,7 @@
         "_machine",
         "_stream",
         "_written",
-        "heard_at",
+        "active_at",
         "idle_until",
         "is_kept",
         "is_repeatable",
@@ -61,7 +61,7 @@
         self.idle_until = 0.0
         self.is_kept = False
         self.is_repeatable = False
-        self.heard_at = 0.0
+        self.active_at = 0.0
         self.sent = 0
         self.received = 0
         self._is_given_up = False
@@ -104,7 +104,7 @@
 
         Raise `BrokenError` if it can't be a request.
         """
-        self.heard_at = asyncio.get_running_loop().time()
+        self.active_at = asyncio.get_running_loop().time()
         try:
             data = self._machine.send(
                 h11.Request(method=method, target=target, headers=headers)
@@ -192,7 +192,7 @@
             if self._stream.error is not None:
                 raise BrokenError(f"reset: {self._stream.error}") from error
             data = b""
-        self.heard_at = asyncio.get_running_loop().time()
+        self.active_at = asyncio.get_running_loop().time()
         self.received += len(data)
         self._machine.receive_data(data)
 
@@ -214,11 +214,11 @@
 
 def _make_socket() -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    set_probes(sock)
+    enable_keepalive(sock)
     return sock
 
 
-def set_probes(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Have the kernel notice a peer that has fallen silent.
 
     A machine without power and a path that is cut answer nothing: without
--- a/eelgrassrack/gateway/daemon.py
+++ b/eelgrassrack/gateway/daemon.py
@@ -17,17 +17,17 @@
 from .fleet import Fleet
 from .follower import Contact, Store
 from .ingress import Ingress
-from .knowledge import Kinds, Knowledge
 from .listener import open_listener
 from .metrics import GatewayMetrics
-from .news import Audience, News, NewsExchange
 from .peerlist import PeerList
+from .peerupdates import Audience, PeerUpdate, UpdateExchange
 from .placing import Placer
 from .pool import ConnectionPool
 from .rollouts import Rollouts
 from .serving import RequestHandler
 from .settings import GatewaySettings
-from .sharing import Need, Sharing, encode_beliefs, read_path
+from .storesync import Kinds, StoreSync
+from .storeviews import Need, StoreViewFetcher, encode_beliefs, read_path
 from .translation import Translation
 
 log = logbook.Logger("gateway")
@@ -46,10 +46,10 @@
 # What is left of the grace once everything has its answer, once callers can't
 # connect any more, once no request is waited for, and once connections are closed:
 # a slow instance needs some of it for the last bytes to leave, and some to end.
-ANSWERED_SECONDS = 0.7
-DEAF_SECONDS = 0.5
-CLOSED_SECONDS = 0.3
-LINGERED_SECONDS = 0.1
+ANSWER_MARGIN_SECONDS = 0.7
+LISTEN_MARGIN_SECONDS = 0.5
+REQUEST_MARGIN_SECONDS = 0.3
+CLOSE_MARGIN_SECONDS = 0.1
 
 # A body that takes longer comes from a caller that has long given up: no
 # route's time limit is near this.
@@ -67,7 +67,7 @@
         "_count_dropped",
         "_admin_servers",
         "fleet",
-        "_knowledge",
+        "_store_sync",
         "ingress",
         "_is_closing",
         "_kinds",
@@ -83,7 +83,7 @@
         "_server",
         "_handler",
         "_settings",
-        "_sharing",
+        "_view_fetcher",
         "_store",
         "_supervisor",
     )
@@ -123,14 +123,14 @@
             clock=asyncio.get_running_loop().time,
             forget=self._forget,
         )
-        self._news = NewsExchange(
+        self._news = UpdateExchange(
             name=settings.name,
             domain=settings.domain,
             address=(settings.address, settings.news_port),
             seeds=find_seeds(settings),
-            make_news=self._make_news,
-            take_news=self._take_news,
-            count_crossed=lambda size: self._metrics.crossed(size, "news"),
+            make_update=self._make_update,
+            receive_update=self._receive_update,
+            count_crossed=lambda size: self._metrics.count_crossed(size, "news"),
         )
         self._peers = PeerList(
             settings=settings,
@@ -155,7 +155,7 @@
 
     def _make_knowledge(self) -> None:
         """Make what follows the store, or learns from peers."""
-        self._knowledge = Knowledge(
+        self._store_sync = StoreSync(
             settings=self._settings,
             store=self._store,
             kinds=self._kinds,
@@ -165,12 +165,12 @@
             rollouts=self.rollouts,
             list_peer_updates=lambda: self._news.heard,
         )
-        self._sharing = Sharing(
+        self._view_fetcher = StoreViewFetcher(
             find_url=self._find_url,
-            find_need=self._knowledge.find_need,
-            find_known=self._knowledge.find_known,
-            rank=self._knowledge.rank_sources,
-            take=self._knowledge.take_beliefs,
+            find_need=self._store_sync.find_need,
+            find_known=self._store_sync.find_known,
+            rank=self._store_sync.rank_sources,
+            take=self._store_sync.take_beliefs,
             count_bytes=self._count_beliefs,
         )
 
@@ -184,7 +184,7 @@
             translation=translation,
             metrics=self._metrics,
             settings=settings,
-            is_loading=lambda: self.has_store and not self._knowledge.is_informed,
+            is_loading=lambda: self.has_store and not self._store_sync.is_informed,
             get_readiness=lambda: self._news.readiness,
         )
         self.ingress = Ingress(
@@ -217,7 +217,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether the balancer may send callers here."""
-        return self._knowledge.is_informed and not self._is_closing
+        return self._store_sync.is_informed and not self._is_closing
 
     @property
     def has_store(self) -> bool:
@@ -231,14 +231,14 @@
 
     async def start(self) -> None:
         """Open all doors and begin to follow the store."""
-        for follower in self._knowledge.followers:
+        for follower in self._store_sync.followers:
             self._supervisor.start(name=follower.kind, job=follower.run)
         await self._news.open()
         self._supervisor.start(name="chores", job=self._do_chores)
         self._supervisor.start(name="news", job=self._news.run)
         self._supervisor.start(name="rollouts", job=self.rollouts.run)
         self._supervisor.start(name="peers", job=self._peers.run)
-        self._supervisor.start(name="sharing", job=self._sharing.run)
+        self._supervisor.start(name="sharing", job=self._view_fetcher.run)
         self._listener = self._listener or open_listener(self._settings.listen)
         self._server.add_socket(self._listener)
         for server in self._admin_servers:
@@ -258,16 +258,16 @@
         began = loop.time() if told_at is None else told_at
         self._is_closing = True
         ends_at = began + self._settings.grace_seconds
-        self._handler.set_end(ends_at - ANSWERED_SECONDS)
+        self._handler.set_end(ends_at - ANSWER_MARGIN_SECONDS)
         await asyncio.sleep(began + ROTATION_SECONDS - loop.time())
         # The balancer still sends callers here if too few others are ready.
         # They are served if that surely fits: a closed port would cost them
         # their try.
         self._handler.refuse_unfinishable()
-        await self.ingress.wait_answered(ends_at - DEAF_SECONDS)
+        await self.ingress.wait_answered(ends_at - LISTEN_MARGIN_SECONDS)
         await stop_listening(self._server, [self._listener])
-        await self.ingress.wait_answered(ends_at - CLOSED_SECONDS)
-        await self.ingress.end(ends_at - LINGERED_SECONDS)
+        await self.ingress.wait_answered(ends_at - REQUEST_MARGIN_SECONDS)
+        await self.ingress.end(ends_at - CLOSE_MARGIN_SECONDS)
         log.notice("gateway: stopped, {} cut", self.ingress.open_requests)
         await self.close()
 
@@ -279,7 +279,7 @@
             server.close()
         await self._supervisor.stop()
         self._news.close()
-        self._sharing.close()
+        self._view_fetcher.close()
         self._pool.close()
         self._store.close()
 
@@ -296,7 +296,7 @@
             return
         log.notice("gateway: settings changed")
         self._settings = settings
-        self._knowledge.apply_settings(settings)
+        self._store_sync.apply_settings(settings)
         self._placer.apply_settings(settings)
         self._handler.apply_settings(settings)
         self.rollouts.apply_settings(settings)
@@ -315,7 +315,7 @@
             self._note_held_up(now - due)
             self._pool.prune(now=now)
             self._pool.probe_silent(
-                now=now, note_unreachable=self._placer.evidence.note_unreachable
+                now=now, note_unreachable=self._placer.health.note_unreachable
             )
             self.fleet.sweep()
             self.ingress.close_overdue()
@@ -333,23 +333,23 @@
         self._metrics.held_up.inc(seconds)
         log.warning("gateway: held up for {seconds} s", seconds=round(seconds, 2))
 
-    def _make_news(
+    def _make_update(
         self, *, name: str, lifetime: str, port: int, number: int, audience: Audience
-    ) -> News:
+    ) -> PeerUpdate:
         trials, pins = self.rollouts.tell(audience)
-        return News(
+        return PeerUpdate(
             name=name,
             lifetime=lifetime,
             port=port,
             number=number,
             configuration=self.router.version,
-            knows_store=self._knowledge.knows_store,
-            revisions=self._knowledge.revisions,
-            flights=self._placer.report_endpoints(),
+            knows_store=self._store_sync.knows_store,
+            revisions=self._store_sync.revisions,
+            endpoints=self._placer.report_endpoints(),
             trials=trials,
             pins=pins,
-            crashes=self._placer.evidence.tell_crashes(),
-            doubted=self._placer.evidence.tell_doubted(),
+            crashes=self._placer.health.tell_crashes(),
+            suspected=self._placer.health.tell_doubted(),
             usage=self._placer.report_usage(),
             domain=self._settings.domain,
             is_ready=self.is_ready,
@@ -366,7 +366,7 @@
             self._metrics.heavy.set(len(self._placer.heavy))
             self._metrics.dropped_lines.set(self._count_dropped())
             return (200, self._metrics.render())
-        return (200, encode_beliefs(self._knowledge.describe(known)))
+        return (200, encode_beliefs(self._store_sync.describe(known)))
 
     def _find_url(self, name: str) -> str | None:
         address = self._news.find_address(name)
@@ -374,14 +374,14 @@
 
     def _count_beliefs(self, name: str, size: int) -> None:
         if self._news.is_far(name):
-            self._metrics.crossed(size, "beliefs")
-
-    def _take_news(self, news: News) -> None:
-        if self._knowledge.is_watcher():
-            self._knowledge.catch_up(news)
-        elif self._knowledge.find_need() is not Need.NONE:
-            self._sharing.wake.set()
-        self.rollouts.take_news(news)
+            self._metrics.count_crossed(size, "beliefs")
+
+    def _receive_update(self, news: PeerUpdate) -> None:
+        if self._store_sync.is_watcher():
+            self._store_sync.catch_up(news)
+        elif self._store_sync.find_need() is not Need.NONE:
+            self._view_fetcher.wake.set()
+        self.rollouts.receive_update(news)
         self._placer.note_peer_updates()
 
     def _find_rank(self) -> int:
@@ -391,7 +391,7 @@
 
     def _forget(self, lifetime: tuple[str, int]) -> None:
         self._pool.forget(lifetime=lifetime)
-        self._placer.evidence.note_gone(lifetime)
+        self._placer.health.note_gone(lifetime)
 
 
 def find_seeds(settings: GatewaySettings) -> tuple[str, ...]:
--- a/eelgrassrack/gateway/flightnews.py
+++ b/eelgrassrack/gateway/endpointreports.py
@@ -10,7 +10,7 @@
 from ..decisions.slowness import Timing, find_slow
 from .endpointstate import EndpointState
 from .fleet import Fleet
-from .news import BacklogNews, FlightNews, News
+from .peerupdates import BacklogReport, EndpointReport, PeerUpdate
 
 log = logbook.Logger("placing")
 
@@ -19,19 +19,19 @@
 HUNDREDTHS = 100.0
 
 
-def tell_flights(fleet: Fleet, now: float) -> tuple[FlightNews, ...]:
+def report_endpoints(fleet: Fleet, now: float) -> tuple[EndpointReport, ...]:
     """Return what is under way here, and how slow answers were."""
     told = (_tell(flight, now) for flight in fleet)
     return tuple(one for one in told if one.running or one.answers)
 
 
-def _tell(flight: EndpointState, now: float) -> FlightNews:
+def _tell(flight: EndpointState, now: float) -> EndpointReport:
     timing = flight.find_timing(now)
     backlog = tuple(
-        BacklogNews(urgency, int(seconds * MILLISECONDS))
+        BacklogReport(urgency, int(seconds * MILLISECONDS))
         for urgency, seconds in flight.own_backlog.list_parts()
     )
-    return FlightNews(
+    return EndpointReport(
         flight.key,
         flight.own_running,
         backlog,
@@ -40,19 +40,19 @@
     )
 
 
-def take_flights(fleet: Fleet, heard: Iterable[News]) -> None:
+def merge_reports(fleet: Fleet, heard: Iterable[PeerUpdate]) -> None:
     """Take over what all peers have under way."""
     heard = tuple(heard)
     sums: dict[int, Sum] = collections.defaultdict(Sum)
-    for told in itertools.chain.from_iterable(one.flights for one in heard):
+    for told in itertools.chain.from_iterable(one.endpoints for one in heard):
         sums[told.lifetime].add(told)
-    doubted = set(itertools.chain.from_iterable(one.doubted for one in heard))
+    suspected = set(itertools.chain.from_iterable(one.suspected for one in heard))
     for flight in fleet:
         found = sums.get(flight.key) or Sum()
         flight.peer_running = found.running
         flight.peer_backlog = found.backlog
         flight.peer_timing = found.timing
-        flight.is_suspected_by_peers = flight.key in doubted
+        flight.is_suspected_by_peers = flight.key in suspected
 
 
 class Sum:
@@ -65,7 +65,7 @@
         self.backlog = ReadingBacklog()
         self.timing = Timing()
 
-    def add(self, told: FlightNews) -> None:
+    def add(self, told: EndpointReport) -> None:
         """Add what one peer has."""
         self.running += told.running
         for part in told.backlog:
@@ -73,7 +73,7 @@
         self.timing += Timing(told.answers / HUNDREDTHS, told.slowness / HUNDREDTHS)
 
 
-def judge_slow(fleet: Fleet, now: float) -> None:
+def detect_slow(fleet: Fleet, now: float) -> None:
     """Find out which endpoints take far longer than others of their service."""
     by_service: dict[str, dict[str, Timing]] = collections.defaultdict(dict)
     for flight in fleet:
--- a/eelgrassrack/gateway/fleet.py
+++ b/eelgrassrack/gateway/fleet.py
@@ -123,7 +123,7 @@
             if flight.missing_since is not None and not self._may_be_back(now):
                 self._drop(flight, "still missing after the store's return")
 
-    def find_lifetime(self, endpoint: Endpoint) -> EndpointState | None:
+    def find_state(self, endpoint: Endpoint) -> EndpointState | None:
         """Return the lifetime's record, or None once it is gone."""
         flight = self.find(endpoint.name)
         if flight is None or flight.endpoint.lifetime != endpoint.lifetime:
--- a/eelgrassrack/gateway/follower.py
+++ b/eelgrassrack/gateway/follower.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from .beliefs import Away, Changed, HistoryGone, Listed
+from .storeobjects import HistoryGone, ListResult, StoreUnavailable, WatchResult
 
 log = logbook.Logger("store")
 
@@ -49,12 +49,12 @@
 
     async def list(
         self, *, kind: str, timeout: float, allow_stale: bool = False
-    ) -> Listed | Away:
+    ) -> ListResult | StoreUnavailable:
         """Return all objects of a kind."""
 
     async def watch(
         self, *, kind: str, revision: int, wait: float, timeout: float
-    ) -> Changed | HistoryGone | Away:
+    ) -> WatchResult | HistoryGone | StoreUnavailable:
         """Return what changed after a revision."""
 
 
@@ -203,11 +203,11 @@
         result = await (self._list() if self.revision is None else self._watch())
         now = loop.time()
         match result:
-            case Listed():
+            case ListResult():
                 self.revision = result.revision
                 self.event_revision = max(self.event_revision, result.newest, 1)
                 self._take_list(result.objects)
-            case Changed():
+            case WatchResult():
                 # Distrusted meanwhile: what comes now may leave out changes.
                 self.revision = self.revision and result.revision
                 self._has_changed = bool(result.objects)
@@ -220,13 +220,13 @@
                 self.on_gap()
             case Unheard():
                 return True
-            case Away(reason=reason):
+            case StoreUnavailable(reason=reason):
                 self._contact.note_lost(now=now, kind=self.kind, reason=reason)
                 return False
         self._contact.note_answer(asked_at=asked_at, now=now)
         return True
 
-    async def _list(self) -> Listed | Away:
+    async def _list(self) -> ListResult | StoreUnavailable:
         return await self._store.list(kind=self.kind, timeout=LIST_SECONDS)
 
     def catch_up(self, revision: int) -> None:
@@ -240,7 +240,7 @@
         self._told = revision
         self.distrust()
 
-    async def _watch(self) -> Changed | HistoryGone | Away | Unheard:
+    async def _watch(self) -> WatchResult | HistoryGone | StoreUnavailable | Unheard:
         wait = self._find_wait()
         revision = self.revision
         self._watching = asyncio.ensure_future(
--- a/eelgrassrack/gateway/ingress.py
+++ b/eelgrassrack/gateway/ingress.py
@@ -19,8 +19,8 @@
 
 from ..lingering import NOT_READ, Lingering
 from .configuration import Limits
+from .connection import enable_keepalive
 from .errors import CallerGoneError
-from .exchange import set_probes
 from .messages import Arrival, Refusal
 from .reply import Reply
 
@@ -136,7 +136,7 @@
         is_first = server_conn not in self._known
         if is_first:
             self._known.add(server_conn)
-            set_probes(request_conn.stream.socket)
+            enable_keepalive(request_conn.stream.socket)
         self._idle[request_conn] = Pause(since=self._loop.time(), is_first=is_first)
         limits = self._find_limits()
         request_conn.params.max_header_size = limits.header_bytes * READ_FACTOR
--- a/eelgrassrack/gateway/metrics.py
+++ b/eelgrassrack/gateway/metrics.py
@@ -75,19 +75,19 @@
     def _show(self, name: str, meaning: str) -> Gauge:
         return Gauge(name, meaning, registry=self.registry)
 
-    def arrived(self) -> None:
+    def count_arrival(self) -> None:
         """Count a request."""
         self._arrived.inc()
 
-    def ended(self, end: str) -> None:
+    def count_end(self, end: str) -> None:
         """Count a request's end."""
         self._ended.labels(end).inc()
 
-    def crossed(self, size: int, kind: str) -> None:
+    def count_crossed(self, size: int, kind: str) -> None:
         """Count bytes that crossed failure domains."""
         self._crossed.labels(kind).inc(size)
 
-    def took(self, seconds: float, until: str) -> None:
+    def observe_seconds(self, seconds: float, until: str) -> None:
         """Note a duration."""
         self._took.labels(until).observe(seconds)
 
--- a/eelgrassrack/gateway/evidence.py
+++ b/eelgrassrack/gateway/passivehealth.py
@@ -9,7 +9,7 @@
 from .endpoints import Endpoint
 from .endpointstate import EndpointState
 from .fleet import Fleet
-from .news import News
+from .peerupdates import PeerUpdate
 from .rollouts import Rollouts
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 OFTEN_BAD = 0.3
 
 
-class Evidence:
+class PassiveHealthCheck:
     """Learn from attempts which endpoints to pass over, and which requests crash."""
 
     __slots__ = ("_fleet", "_loop", "_poison", "_rollouts")
@@ -48,32 +48,32 @@
             failed=failed,
             seconds=seconds,
         )
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         if flight is None:
             return
         flight.note_end(failed=failed)
         if failed:
-            self._shun(flight)
+            self._avoid(flight)
 
     def note_not_run(self, job: "Job", endpoint: Endpoint, *, is_down: bool) -> None:
         """Learn from an attempt that didn't run."""
         if is_down:
             self.note_down(endpoint)
             return
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         if flight is not None:
-            self._shun(flight)
+            self._avoid(flight)
 
     def note_down(self, endpoint: Endpoint) -> None:
         """Note that an endpoint takes no connection."""
         now = self._loop.time()
         self._poison.note_down(endpoint=endpoint.name, born=endpoint.born, now=now)
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         if flight is not None:
             flight.note_end(failed=True)
-            self._shun(flight)
+            self._avoid(flight)
 
-    def note_lost(self, job: "Job", endpoint: Endpoint) -> None:
+    def note_lost_answer(self, job: "Job", endpoint: Endpoint) -> None:
         """Note an answer that was lost; the request may have crashed it.
 
         That says nothing of the endpoint's version: connections break for
@@ -85,19 +85,19 @@
 
     def note_silent(self, endpoint: Endpoint) -> None:
         """Note that an endpoint owes an answer that doesn't come."""
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         if flight is not None:
             flight.note_end(failed=True)
             flight.suspected_until = self._loop.time() + SUSPICION_SECONDS
-            self._shun(flight)
+            self._avoid(flight)
 
     def note_unreachable(self, endpoint: Endpoint) -> None:
         """Note that an endpoint with requests under way is out of reach."""
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         if flight is not None:
             flight.failure_rate = max(flight.failure_rate, OFTEN_BAD)
             flight.suspected_until = self._loop.time() + SUSPICION_SECONDS
-            self._shun(flight)
+            self._avoid(flight)
 
     def note_gone(self, lifetime: tuple[str, int]) -> None:
         """Note that a lifetime ended without a word."""
@@ -109,7 +109,7 @@
         now = self._loop.time()
         return self._poison.is_culprit(fingerprint=job.fingerprint, now=now)
 
-    def take_news(self, heard: Iterable[News]) -> None:
+    def merge_crashes(self, heard: Iterable[PeerUpdate]) -> None:
         """Take over the crashes that peers found."""
         now = self._loop.time()
         for news in heard:
@@ -125,7 +125,7 @@
         now = self._loop.time()
         return tuple(one.key for one in self._fleet if now < one.suspected_until)
 
-    def _shun(self, flight: EndpointState) -> None:
+    def _avoid(self, flight: EndpointState) -> None:
         often = flight.failure_rate >= OFTEN_BAD
         seconds = LONG_SHUN_SECONDS if often else SHORT_SHUN_SECONDS
         flight.avoided_until = self._loop.time() + seconds
--- a/eelgrassrack/gateway/peerlist.py
+++ b/eelgrassrack/gateway/peerlist.py
@@ -6,8 +6,8 @@
 
 import logbook
 
-from .beliefs import Away, Listed, Peer
 from .settings import GatewaySettings
+from .storeobjects import ListResult, Peer, StoreUnavailable
 
 log = logbook.Logger("gateway")
 
@@ -30,7 +30,7 @@
 
     async def list(
         self, *, kind: str, timeout: float, allow_stale: bool = False
-    ) -> Listed | Away:
+    ) -> ListResult | StoreUnavailable:
         """Return all objects of a kind."""
 
 
@@ -77,7 +77,7 @@
         listed = await self._store.list(
             kind=self._kind, timeout=CALL_SECONDS, allow_stale=allow_stale
         )
-        if not isinstance(listed, Listed):
+        if not isinstance(listed, ListResult):
             log.debug("gateway: peers couldn't be listed: {}", listed)
             return
         found = listed.objects.items()
--- a/eelgrassrack/gateway/news.py
+++ b/eelgrassrack/gateway/peerupdates.py
@@ -25,13 +25,13 @@
 from ..decisions.stopping import Readiness
 from ..decisions.urgency import LEAST_URGENT
 from ..decisions.versiontrial import Tally
-from .beliefs import Peer
+from .storeobjects import Peer
 
 log = logbook.Logger("news")
 
 # Between datagrams to all peers: a quarter of the second in which an entry's
 # load may change by half in a burst.
-NEWS_SECONDS = 0.25
+UPDATE_SECONDS = 0.25
 
 # Each news go to about so many peers of other failure domains at full rate.  With
 # more of them each gets every second news, every third and so on, but every
@@ -53,14 +53,14 @@
 SHARE_SECONDS = 20.0
 
 
-class BacklogNews(msgspec.Struct, frozen=True, array_like=True):
+class BacklogReport(msgspec.Struct, frozen=True, array_like=True):
     """The time that an endpoint needs to read its prompts of one urgency."""
 
     urgency: Annotated[int, msgspec.Meta(ge=0, le=LEAST_URGENT)]
     milliseconds: int
 
 
-class FlightNews(msgspec.Struct, frozen=True, array_like=True):
+class EndpointReport(msgspec.Struct, frozen=True, array_like=True):
     """What one gateway has under way at a lifetime of an endpoint.
 
     `lifetime` is a short hash, since most bytes of the news would be names.
@@ -69,12 +69,12 @@
 
     lifetime: int
     running: int
-    backlog: tuple[BacklogNews, ...] = ()
+    backlog: tuple[BacklogReport, ...] = ()
     answers: int = 0
     slowness: int = 0
 
 
-class TrialNews(msgspec.Struct, frozen=True, array_like=True):
+class TrialReport(msgspec.Struct, frozen=True, array_like=True):
     """How far a roll-out has come, as seen by one gateway.
 
     `is_witnessed` says that `elapsed` was counted from when it was seen to begin.
@@ -96,11 +96,11 @@
     is_new: bool
 
 
-class News(msgspec.Struct, frozen=True, array_like=True):
+class PeerUpdate(msgspec.Struct, frozen=True, array_like=True):
     """The state of one gateway, as it tells its peers.
 
     `revisions` are those of the store at the last changes of each kind that
-    were seen, in the order in which all gateways follow the kinds.  `doubted`
+    were seen, in the order in which all gateways follow the kinds.  `suspected`
     are lifetimes of endpoints, by their hash, that lost an answer lately;
     `usage` is what organisations had engines read.  `is_ready` tells whether the
     balancer may send callers there; those that don't tell are.
@@ -113,11 +113,11 @@
     configuration: int
     knows_store: bool
     revisions: tuple[int, ...] = ()
-    flights: tuple[FlightNews, ...] = ()
-    trials: tuple[TrialNews, ...] = ()
+    endpoints: tuple[EndpointReport, ...] = ()
+    trials: tuple[TrialReport, ...] = ()
     pins: tuple[Pin, ...] = ()
     crashes: tuple[Crash, ...] = ()
-    doubted: tuple[int, ...] = ()
+    suspected: tuple[int, ...] = ()
     usage: Told = Told()
     domain: str = ""
     is_ready: bool = True
@@ -127,7 +127,7 @@
         """Return what all peers must know soon once it changes."""
         bad = tuple(trial.version for trial in self.trials if trial.is_bad)
         known = (self.configuration, self.knows_store, self.revisions)
-        return (known, bad, self.crashes, self.doubted, self.is_ready)
+        return (known, bad, self.crashes, self.suspected, self.is_ready)
 
 
 class Audience(enum.Enum):
@@ -140,7 +140,7 @@
 class Heard(msgspec.Struct):
     """The newest news of a peer, and when it came."""
 
-    news: News
+    news: PeerUpdate
     at: float
 
 
@@ -148,7 +148,7 @@
     """Take no note of bytes that crossed failure domains."""
 
 
-class NewsExchange(asyncio.DatagramProtocol):
+class UpdateExchange(asyncio.DatagramProtocol):
     """Send own news to all peers and keep theirs.
 
     `is_listed` tells whether a list of all gateways was read, this one among them.
@@ -161,8 +161,8 @@
         domain: str,
         address: tuple[str, int],
         seeds: tuple[str, ...],
-        make_news: Callable[..., News],
-        take_news: Callable[[News], None],
+        make_update: Callable[..., PeerUpdate],
+        receive_update: Callable[[PeerUpdate], None],
         count_crossed: Callable[[int], None] = _count_nothing,
     ) -> None:
         self.is_listed = False
@@ -172,8 +172,8 @@
         self._address = address
         self._seeds: list[tuple[str, int]] = []
         self.take_seeds(seeds)
-        self._make_news = make_news
-        self._take_news = take_news
+        self._make_update = make_update
+        self._receive_update = receive_update
         self._count_crossed = count_crossed
         self._peers: dict[str, tuple[str, int]] = {}
         self._heard: dict[str, Heard] = {}
@@ -206,7 +206,7 @@
             far = self._find_far()
             told = len(self._peers) - len(far) + len(far) / _find_turns(len(far))
             self._crowd = max(1.0, told / FULL_RATE_PEERS)
-            await asyncio.sleep(NEWS_SECONDS * self._crowd)
+            await asyncio.sleep(UPDATE_SECONDS * self._crowd)
 
     def send(self) -> None:
         """Send the news as they are now."""
@@ -221,9 +221,9 @@
             self._far_number = self._number
             self._tell(Audience.FAR, far)
 
-    def _tell(self, audience: Audience, addresses: set[tuple[str, int]]) -> News:
+    def _tell(self, audience: Audience, addresses: set[tuple[str, int]]) -> PeerUpdate:
         self._number += audience is Audience.NEAR
-        news = self._make_news(
+        news = self._make_update(
             name=self._name,
             lifetime=self.lifetime,
             port=self._address[1],
@@ -253,7 +253,7 @@
                 self._add(peer.name, peer.address, now)
 
     @property
-    def heard(self) -> tuple[News, ...]:
+    def heard(self) -> tuple[PeerUpdate, ...]:
         """Return the news of peers that were heard lately."""
         now = asyncio.get_running_loop().time()
         return tuple(
@@ -306,7 +306,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Take over a peer's news, unless they are older than known ones."""
         try:
-            news = msgspec.msgpack.decode(data, type=News)
+            news = msgspec.msgpack.decode(data, type=PeerUpdate)
         except msgspec.DecodeError as error:
             log.warning("news: bytes of {} can't be read: {}", addr[0], error)
             return
@@ -321,7 +321,7 @@
         elif known is None or not self._is_heard(known, now):
             log.info("news: {} is heard", news.name)
         self._heard[news.name] = Heard(news, now)
-        self._take_news(news)
+        self._receive_update(news)
 
     def error_received(self, exc: Exception) -> None:
         """Leave out what the network says of a peer that is down."""
--- a/eelgrassrack/gateway/placing.py
+++ b/eelgrassrack/gateway/placing.py
@@ -19,14 +19,14 @@
 from ..decisions.sharedbudget import share_cold_rate
 from ..decisions.suspects import avoid_suspected
 from .configuration import Service
+from .endpointreports import detect_slow, merge_reports, report_endpoints
 from .endpoints import Endpoint
 from .endpointstate import EndpointState
-from .evidence import Evidence
 from .fleet import Fleet
-from .flightnews import judge_slow, take_flights, tell_flights
 from .job import Placement
 from .messages import Refusal
-from .news import FlightNews, News
+from .passivehealth import PassiveHealthCheck
+from .peerupdates import EndpointReport, PeerUpdate
 from .prompts import (
     find_affinity,
     find_cost,
@@ -62,7 +62,7 @@
     """Choose endpoints and keep count of what runs on them.
 
     `heavy` are the organisations whose prompts give way to those of others,
-    `evidence` is what attempts have shown of endpoints.  `list_sharers` returns
+    `health` is what attempts have shown of endpoints.  `list_sharers` returns
     the other gateways that share the common limits, or None while it isn't known.
     """
 
@@ -77,7 +77,7 @@
         "_rollouts",
         "_settings",
         "_usage",
-        "evidence",
+        "health",
         "heavy",
     )
 
@@ -88,9 +88,9 @@
         rollouts: Rollouts,
         settings: GatewaySettings,
         list_sharers: Callable[[], tuple[Sharer, ...] | None],
-        list_peer_updates: Callable[[], tuple[News, ...]],
+        list_peer_updates: Callable[[], tuple[PeerUpdate, ...]],
     ) -> None:
-        self.evidence = Evidence(fleet=fleet, rollouts=rollouts)
+        self.health = PassiveHealthCheck(fleet=fleet, rollouts=rollouts)
         self._fleet = fleet
         self._rollouts = rollouts
         self._settings = settings
@@ -122,7 +122,7 @@
         while True:
             now = self._loop.time()
             self._add_up_news()
-            if self.evidence.is_culprit(job):
+            if self.health.is_culprit(job):
                 return POISON
             flights = self._select_trusted(job, now)
             if not flights:
@@ -137,7 +137,7 @@
 
         A connection may take long to open, and the endpoint be taken out meanwhile.
         """
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         return flight in self._select(job, passed_over=frozenset())
 
     def note_sent(self, job: "Job", endpoint: Endpoint) -> None:
@@ -146,7 +146,7 @@
         Until then it has its place in an endpoint's cold start as well, since a
         connection takes less than the second in which places are counted.
         """
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         if flight is None:
             return
         with contextlib.suppress(ValueError):
@@ -155,7 +155,7 @@
 
     def begin(self, job: "Job", endpoint: Endpoint) -> None:
         """Count a request that is placed on an endpoint."""
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         if flight is None:
             return
         now = self._loop.time()
@@ -178,7 +178,7 @@
 
     def note_first(self, job: "Job", endpoint: Endpoint) -> None:
         """Note the first piece of an answer: its prompt has been read."""
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         now = self._loop.time()
         if flight is not None:
             flight.own_backlog.add(job.urgency, -job.reading)
@@ -198,7 +198,7 @@
 
     def end(self, job: "Job", endpoint: Endpoint) -> None:
         """Count the end of a request."""
-        flight = self._fleet.find_lifetime(endpoint)
+        flight = self._fleet.find_state(endpoint)
         if flight is not None:
             flight.own_running -= 1
             flight.own_backlog.add(job.urgency, -job.reading)
@@ -229,15 +229,15 @@
         for flight in self._fleet:
             flight.evict_prefixes(before=before)
 
-    def report_endpoints(self) -> tuple[FlightNews, ...]:
+    def report_endpoints(self) -> tuple[EndpointReport, ...]:
         """Return what is under way, for peers."""
-        return tell_flights(self._fleet, self._loop.time())
+        return report_endpoints(self._fleet, self._loop.time())
 
     def detect_outliers(self) -> None:
         """Find out which endpoints are slow, and which organisations give way."""
         self._add_up_news()
         now = self._loop.time()
-        judge_slow(self._fleet, now)
+        detect_slow(self._fleet, now)
         self._usage.fade(now)
         heavy = self._usage.find_heavy(one.usage for one in self._list_peer_updates())
         if heavy != self.heavy:
@@ -268,8 +268,8 @@
         self._has_news = False
         self._added_at = self._loop.time()
         heard = self._list_peer_updates()
-        take_flights(self._fleet, heard)
-        self.evidence.take_news(heard)
+        merge_reports(self._fleet, heard)
+        self.health.merge_crashes(heard)
 
     def _select(self, job: "Job", passed_over: Collection[str]) -> list[EndpointState]:
         versions = self._rollouts.choose_version(
--- a/eelgrassrack/gateway/pool.py
+++ b/eelgrassrack/gateway/pool.py
@@ -11,9 +11,9 @@
 import logbook
 
 from ..decisions.idle import choose_idle_seconds
+from .connection import Connection, open_connection
 from .endpoints import Endpoint
 from .errors import ConnectError
-from .exchange import Connection, open_connection
 from .messages import ResponseHead
 
 log = logbook.Logger("pool")
@@ -58,7 +58,7 @@
             connection = await open_connection(
                 address=endpoint.address, timeout=CONNECT_SECONDS
             )
-        connection.heard_at = now
+        connection.active_at = now
         self._busy.setdefault(endpoint, set()).add(connection)
         return connection
 
@@ -81,11 +81,11 @@
         connection at once.
         """
         for endpoint, busy in tuple(self._busy.items()):
-            heard = max(one.heard_at for one in busy)
+            heard = max(one.active_at for one in busy)
             if now < heard + SILENT_SECONDS:
                 continue
             for one in busy:
-                one.heard_at = now + NEXT_PROBE_SECONDS - SILENT_SECONDS
+                one.active_at = now + NEXT_PROBE_SECONDS - SILENT_SECONDS
             self._start(self._probe(endpoint, note_unreachable))
 
     def check(
--- a/eelgrassrack/gateway/rollouts.py
+++ b/eelgrassrack/gateway/rollouts.py
@@ -18,11 +18,11 @@
     is_slow,
     may_end,
 )
-from .beliefs import RolloutOrder, RolloutState, RolloutStatus
 from .fleet import ANY_VERSION, Fleet, VersionChoice
 from .follower import Contact
-from .news import Audience, News, Pin, TrialNews
+from .peerupdates import Audience, PeerUpdate, Pin, TrialReport
 from .settings import GatewaySettings
+from .storeobjects import RolloutOrder, RolloutState, RolloutStatus
 from .trial import Seen, Trial
 
 log = logbook.Logger("rollout")
@@ -162,7 +162,7 @@
             is_bad=failed or slow,
         )
 
-    def take_news(self, news: News) -> None:
+    def receive_update(self, news: PeerUpdate) -> None:
         """Take over what a peer knows of roll-outs."""
         now = self._loop.time()
         for told in news.trials:
@@ -179,7 +179,9 @@
             for pin in news.pins:
                 trial.pins[pin.session] = Seen(now, pin.is_new, float("-inf"))
 
-    def tell(self, audience: Audience) -> tuple[tuple[TrialNews, ...], tuple[Pin, ...]]:
+    def tell(
+        self, audience: Audience
+    ) -> tuple[tuple[TrialReport, ...], tuple[Pin, ...]]:
         """Return the trials and pins for peers."""
         now = self._loop.time()
         running = [one for one in self._trials.values() if not one.is_over]
@@ -187,7 +189,7 @@
         if has_tallies:
             self._tallied_at[audience] = now
         trials = tuple(
-            TrialNews(
+            TrialReport(
                 *one.key,
                 now - one.since,
                 one.is_bad,
--- a/eelgrassrack/gateway/serving.py
+++ b/eelgrassrack/gateway/serving.py
@@ -106,7 +106,7 @@
 
     async def serve(self, *, arrival: Arrival, reply: Reply) -> None:
         """Answer one request."""
-        self._metrics.arrived()
+        self._metrics.count_arrival()
         await self._wait_learned(arrival)
         verdict = self.router.permit(arrival)
         if isinstance(verdict, Refusal):
@@ -274,10 +274,10 @@
                 job.note(Standing.RAN)
                 self._note_answer(job, endpoint, failed=False)
             case NotRun(is_down=is_down):
-                self._placer.evidence.note_not_run(job, endpoint, is_down=is_down)
+                self._placer.health.note_not_run(job, endpoint, is_down=is_down)
             case Lost():
                 job.note(Standing.UNKNOWN)
-                self._placer.evidence.note_lost(job, endpoint)
+                self._placer.health.note_lost_answer(job, endpoint)
             case Failed():
                 job.note(Standing.RAN)
                 job.failure = outcome
@@ -285,7 +285,7 @@
 
     def _note_answer(self, job: Job, endpoint: Endpoint, *, failed: bool) -> None:
         first_at = job.first_at or self._loop.time()
-        self._placer.evidence.note_answer(
+        self._placer.health.note_answer(
             job, endpoint, failed=failed, seconds=max(first_at - job.sent_at, 0.0)
         )
 
@@ -330,7 +330,7 @@
 
     async def refuse(self, arrival: Arrival, reply: Reply, refusal: Refusal) -> None:
         """Answer with a refusal; raise `CallerGoneError`."""
-        self._metrics.ended(f"status_{refusal.status}")
+        self._metrics.count_end(f"status_{refusal.status}")
         log_refusal(
             arrival,
             refusal,
@@ -341,10 +341,10 @@
 
     def _note_end(self, job: Job, end: str, reason: str = "") -> None:
         now = self._loop.time()
-        self._metrics.ended(end)
+        self._metrics.count_end(end)
         if job.first_at is not None:
-            self._metrics.took(job.first_at - job.arrival.arrived, "first")
-        self._metrics.took(now - job.arrival.arrived, "whole")
+            self._metrics.observe_seconds(job.first_at - job.arrival.arrived, "first")
+        self._metrics.observe_seconds(now - job.arrival.arrived, "whole")
         log_end(job, end, reason=reason, now=now)
 
     def _find_sends(self, service: str) -> RetryWindow:
--- a/eelgrassrack/gateway/beliefs.py
+++ b/eelgrassrack/gateway/storeobjects.py
@@ -32,7 +32,7 @@
     status: RolloutStatus | None = None
 
 
-class Listed(msgspec.Struct, kw_only=True, frozen=True):
+class ListResult(msgspec.Struct, kw_only=True, frozen=True):
     """All objects of one kind, as of a revision of the store.
 
     `newest` is the revision of the last change of this kind that shows in it.
@@ -43,7 +43,7 @@
     objects: dict[str, object]
 
 
-class Changed(msgspec.Struct, kw_only=True, frozen=True):
+class WatchResult(msgspec.Struct, kw_only=True, frozen=True):
     """Changes since the revision before; None stands for a removed object.
 
     `newest` is the revision of the last of them, 0 if there are none.
@@ -58,7 +58,7 @@
     """The store forgot the changes since that revision: list again."""
 
 
-class Away(msgspec.Struct, kw_only=True, frozen=True):
+class StoreUnavailable(msgspec.Struct, kw_only=True, frozen=True):
     """The store gave no usable answer."""
 
     reason: str
--- a/eelgrassrack/gateway/knowledge.py
+++ b/eelgrassrack/gateway/storesync.py
@@ -14,10 +14,10 @@
 from .endpoints import Endpoint
 from .fleet import Fleet
 from .follower import Contact, Follower, Store, TakeChanges, TakeList
-from .news import News
+from .peerupdates import PeerUpdate
 from .rollouts import Rollouts
 from .settings import GatewaySettings
-from .sharing import Beliefs, Known, Need
+from .storeviews import KnownRevisions, Need, StoreView
 
 log = logbook.Logger("gateway")
 
@@ -34,7 +34,7 @@
     PEERS: str
 
 
-class Knowledge:
+class StoreSync:
     """Follow the store, or learn from peers what it doesn't tell here."""
 
     __slots__ = (
@@ -60,7 +60,7 @@
         router: Router,
         fleet: Fleet,
         rollouts: Rollouts,
-        list_peer_updates: Callable[[], tuple[News, ...]],
+        list_peer_updates: Callable[[], tuple[PeerUpdate, ...]],
     ) -> None:
         self._settings = settings
         self._store = store
@@ -82,7 +82,7 @@
         """Tell whether a configuration and the endpoints are known."""
         return self._router.configuration is not None and self._fleet.is_known
 
-    def describe(self, known: Known) -> Beliefs:
+    def describe(self, known: KnownRevisions) -> StoreView:
         """Return what was read and a peer doesn't know yet."""
         revisions = self.revisions
         fresh = {
@@ -94,7 +94,7 @@
         }
         kinds = self._kinds
         is_newer = self._router.version > known.configuration
-        return Beliefs(
+        return StoreView(
             plan=self._router.configuration if is_newer else None,
             endpoints=self._list_endpoints() if kinds.ENDPOINTS in fresh else None,
             evacuated=(
@@ -111,10 +111,10 @@
         flights = (one for one in self._fleet if one.missing_since is None)
         return tuple(flight.endpoint for flight in flights)
 
-    def find_known(self) -> Known:
+    def find_known(self) -> KnownRevisions:
         """Return what was learned from peers, so that only the rest is asked."""
         is_adopted = not self._hears_store and self._fleet.is_known
-        return Known(
+        return KnownRevisions(
             configuration=self._router.version,
             revisions=self._adopted if is_adopted else (),
         )
@@ -135,7 +135,7 @@
             sources, revisions=self._adopted[1:], spread=self._settings.name
         )
 
-    def catch_up(self, news: News) -> None:
+    def catch_up(self, news: PeerUpdate) -> None:
         """List what a peer has seen newer changes of."""
         for follower, revision in zip(self.followers, news.revisions, strict=False):
             follower.catch_up(revision)
@@ -196,7 +196,7 @@
             time_of_day=time.time(),
         )
 
-    def take_beliefs(self, beliefs: Beliefs, name: str) -> None:
+    def take_beliefs(self, beliefs: StoreView, name: str) -> None:
         """Take over what a peer has read, as far as it is newer."""
         log.info(
             "gateway: beliefs of {}, store {}, revisions {}",
@@ -213,7 +213,7 @@
             self._adopted = tuple(newest) if self._fleet.is_known else beliefs.revisions
             self._adopt(beliefs)
 
-    def _adopt(self, beliefs: Beliefs) -> None:
+    def _adopt(self, beliefs: StoreView) -> None:
         """Take over what a peer knows of kinds that have changed."""
         if beliefs.endpoints is not None:
             self._fleet.adopt(beliefs.endpoints)
--- a/eelgrassrack/gateway/sharing.py
+++ b/eelgrassrack/gateway/storeviews.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from ..store.http import Answer, HttpCaller
-from .beliefs import RolloutOrder
 from .configuration import Configuration
 from .endpoints import Endpoint
+from .storeobjects import RolloutOrder
 
 log = logbook.Logger("sharing")
 
@@ -40,14 +40,14 @@
 MOST_CONNECTIONS = 2
 
 
-class Known(msgspec.Struct, kw_only=True, frozen=True):
+class KnownRevisions(msgspec.Struct, kw_only=True, frozen=True):
     """What the asker has already: a configuration, and changes by kind."""
 
     configuration: int = 0
     revisions: tuple[int, ...] = ()
 
 
-class Beliefs(msgspec.Struct, kw_only=True, frozen=True):
+class StoreView(msgspec.Struct, kw_only=True, frozen=True):
     """What a gateway has read from the store, up to `revisions`.
 
     What the asker has already is left out: most changes are of one kind, and
@@ -70,28 +70,28 @@
     URGENT = "urgent"
 
 
-def encode_beliefs(beliefs: Beliefs) -> bytes:
+def encode_beliefs(beliefs: StoreView) -> bytes:
     """Return beliefs as bytes."""
     return msgspec.msgpack.encode(beliefs)
 
 
-def make_path(known: Known) -> str:
+def make_path(known: KnownRevisions) -> str:
     """Return the path that asks for what isn't known."""
     numbers = (known.configuration, *known.revisions)
     return f"{PATH}/{SEPARATOR.join(map(str, numbers))}"
 
 
-def read_path(path: str) -> Known | None:
+def read_path(path: str) -> KnownRevisions | None:
     """Return what the asker has, or None if the path asks for something else."""
     place, _, rest = path[1:].partition("/")
     numbers = rest.split(SEPARATOR) if rest else []
     if f"/{place}" != PATH or not all(one.isdecimal() for one in numbers):
         return None
     configuration, *revisions = map(int, numbers or ["0"])
-    return Known(configuration=configuration, revisions=tuple(revisions))
+    return KnownRevisions(configuration=configuration, revisions=tuple(revisions))
 
 
-class Sharing:
+class StoreViewFetcher:
     """Ask peers for what the store doesn't tell."""
 
     __slots__ = (
@@ -111,9 +111,9 @@
         *,
         find_url: Callable[[str], str | None],
         find_need: Callable[[], Need],
-        find_known: Callable[[], Known],
+        find_known: Callable[[], KnownRevisions],
         rank: Callable[[], list[str]],
-        take: Callable[[Beliefs, str], None],
+        take: Callable[[StoreView, str], None],
         count_bytes: Callable[[str, int], None],
     ) -> None:
         self._find_url = find_url
@@ -182,7 +182,7 @@
             return False
         self._count_bytes(name, len(answer.body))
         try:
-            beliefs = msgspec.msgpack.decode(answer.body, type=Beliefs)
+            beliefs = msgspec.msgpack.decode(answer.body, type=StoreView)
         except msgspec.DecodeError as error:
             log.warning("sharing: an answer of {} can't be read: {}", name, error)
             return False
--- a/eelgrassrack/gateway/trial.py
+++ b/eelgrassrack/gateway/trial.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from ..decisions.versiontrial import Tally
-from .beliefs import RolloutOrder, RolloutState
+from .storeobjects import RolloutOrder, RolloutState
 
 # A gateway that takes over a roll-out under way waits so long for a peer that saw
 # it begin; those of other failure domains tell once a second.  Times of day jump
--- a/eelgrassrack/platform/store.py
+++ b/eelgrassrack/platform/store.py
@@ -6,7 +6,13 @@
 import logbook
 import msgspec
 
-from ..gateway.beliefs import Away, Changed, HistoryGone, Listed, RolloutStatus
+from ..gateway.storeobjects import (
+    HistoryGone,
+    ListResult,
+    RolloutStatus,
+    StoreUnavailable,
+    WatchResult,
+)
 from ..store.http import Answer, HttpCaller, NoAnswer
 from .errors import FormatError
 from .manifest import decode_manifest
@@ -99,7 +105,7 @@
 
     async def list(
         self, *, kind: str, timeout: float, allow_stale: bool = False
-    ) -> Listed | Away:
+    ) -> ListResult | StoreUnavailable:
         """Return all objects of a kind.
 
         A page is given up after `timeout` seconds without a byte of it.
@@ -118,19 +124,23 @@
             )
             page = _read(outcome, WirePage)
             if not isinstance(page, WirePage):
-                return page if isinstance(page, Away) else Away(reason="410 to a list")
+                return (
+                    page
+                    if isinstance(page, StoreUnavailable)
+                    else StoreUnavailable(reason="410 to a list")
+                )
             for item in page.items:
                 objects[item.metadata.name] = _decode(kind, item)
                 newest = max(newest, item.metadata.revision)
             if not page.has_more or not page.items:
-                return Listed(
+                return ListResult(
                     revision=page.store_revision, newest=newest, objects=objects
                 )
             after = page.items[-1].metadata.name
 
     async def watch(
         self, *, kind: str, revision: int, wait: float, timeout: float
-    ) -> Changed | HistoryGone | Away:
+    ) -> WatchResult | HistoryGone | StoreUnavailable:
         """Return what changed after a revision, waiting `wait` seconds for it."""
         query = {
             WATCH_QUERY: str(revision),
@@ -142,7 +152,7 @@
         changes = _read(outcome, WireWatch)
         if not isinstance(changes, WireWatch):
             return changes
-        return Changed(
+        return WatchResult(
             revision=changes.store_revision,
             newest=_find_newest(changes),
             objects={
@@ -230,16 +240,16 @@
 def _read(outcome: Answer | NoAnswer, kind: type) -> object:
     match outcome:
         case NoAnswer(reason=reason):
-            return Away(reason=reason)
+            return StoreUnavailable(reason=reason)
         case Answer(status=200, body=body):
             try:
                 return msgspec.json.decode(body, type=kind)
             except msgspec.DecodeError as error:
-                return Away(reason=f"an answer that can't be read: {error}")
+                return StoreUnavailable(reason=f"an answer that can't be read: {error}")
         case Answer(status=status) if status == GONE:
             return HistoryGone()
         case Answer(status=status):
-            return Away(reason=f"status {status}")
+            return StoreUnavailable(reason=f"status {status}")
 
 
 def _decode(kind: str, wire: WireObject) -> object:
--- a/test/gateway/spread.py
+++ b/test/gateway/spread.py
@@ -12,11 +12,16 @@
 
 import msgspec
 
-from eelgrassrack.gateway import knowledge, sharing
-from eelgrassrack.gateway.beliefs import Away, Changed, Listed, Peer
+from eelgrassrack.gateway import storesync, storeviews
 from eelgrassrack.gateway.daemon import Gateway
 from eelgrassrack.gateway.endpoints import Endpoint
 from eelgrassrack.gateway.settings import GatewaySettings
+from eelgrassrack.gateway.storeobjects import (
+    ListResult,
+    Peer,
+    StoreUnavailable,
+    WatchResult,
+)
 from eelgrassrack.platform import headers
 from eelgrassrack.platform.manifest import decode_manifest
 from eelgrassrack.platform.store import Kinds
@@ -136,7 +141,7 @@
 
     async def list(self, *, kind, timeout, allow_stale=False):
         found = await wait_moving(self._node, self._list(kind), timeout)
-        return found or Away(reason="silent")
+        return found or StoreUnavailable(reason="silent")
 
     async def watch(self, *, kind, revision, wait, timeout):
         work = self._watch(kind, revision, wait)
@@ -144,12 +149,12 @@
             async with asyncio.timeout(timeout):
                 return await work
         except TimeoutError:
-            return Away(reason="silent")
+            return StoreUnavailable(reason="silent")
 
     async def _list(self, kind):
         await self._cross()
         store = self._store
-        found = Listed(
+        found = ListResult(
             revision=store.revision,
             newest=store.newest[kind],
             objects=dict(store.objects[kind]),
@@ -164,7 +169,7 @@
                 await self._store.wait_newer(kind, revision)
         store = self._store
         is_newer = store.newest[kind] > revision
-        found = Changed(
+        found = WatchResult(
             revision=store.revision,
             newest=store.newest[kind] if is_newer else 0,
             objects=dict(store.objects[kind]) if is_newer else {},
@@ -258,11 +263,11 @@
                 for one in nodes
             }
         )
-        gateway._sharing._callers = {
+        gateway._view_fetcher._callers = {
             f"http://{one.address}:{PORT}": PeerCaller(self, one) for one in nodes
         }
-        jobs = [news.run(), gateway._sharing.run()]
-        jobs += [follower.run() for follower in gateway._knowledge.followers]
+        jobs = [news.run(), gateway._view_fetcher.run()]
+        jobs += [follower.run() for follower in gateway._store_sync.followers]
         self._tasks = [asyncio.ensure_future(job) for job in jobs]
 
     def stop(self):
@@ -302,7 +307,7 @@
             await asyncio.get_running_loop().create_future()
         status, body = peer.gateway._answer_inside(path)
         size = len(body)
-        beliefs = msgspec.msgpack.decode(body, type=sharing.Beliefs)
+        beliefs = msgspec.msgpack.decode(body, type=storeviews.StoreView)
         if beliefs.plan is not None:
             size = max(size, self._world.size)
         await self.receive(size, peer)
@@ -338,7 +343,7 @@
         self.size = size
         self.store = Store()
         clock = type("Clock", (), {"time": lambda _: asyncio.get_running_loop().time()})
-        monkeypatch.setattr(knowledge, "time", clock())
+        monkeypatch.setattr(storesync, "time", clock())
         self.nodes = [
             Node(
                 world=self,
@@ -388,7 +393,7 @@
 
     def find_watchers(self):
         """Return the gateways that watch the store for all."""
-        return [one for one in self.nodes if one.gateway._knowledge.is_watcher()]
+        return [one for one in self.nodes if one.gateway._store_sync.is_watcher()]
 
     def list_behind(self, version):
         """Return the gateways that no path was cut of and that lack a version."""
--- a/test/gateway/test_cold_starts.py
+++ b/test/gateway/test_cold_starts.py
@@ -4,7 +4,7 @@
 import time
 
 from eelgrassrack.gateway import daemon, pool
-from eelgrassrack.gateway.exchange import open_connection
+from eelgrassrack.gateway.connection import open_connection
 from eelgrassrack.gateway.placing import Placer
 from eelgrassrack.platform.store import PlatformStore
 
--- a/test/gateway/test_endpoints.py
+++ b/test/gateway/test_endpoints.py
@@ -6,8 +6,8 @@
 import pytest
 
 from eelgrassrack.gateway import pool
+from eelgrassrack.gateway.connection import open_connection
 from eelgrassrack.gateway.errors import ConnectError
-from eelgrassrack.gateway.exchange import open_connection
 from eelgrassrack.platform.store import Kinds
 from eelgrassrack.standins.directengine import (
     Break,
--- a/test/gateway/test_guards.py
+++ b/test/gateway/test_guards.py
@@ -7,15 +7,15 @@
 from eelgrassrack.decisions.fairshare import Usage
 from eelgrassrack.gateway import (
     attempts,
+    endpointreports,
     fleet,
-    flightnews,
     follower,
     ingress,
     placing,
 )
 from eelgrassrack.gateway.configuration import Router
+from eelgrassrack.gateway.connection import Connection
 from eelgrassrack.gateway.events import Events, EventSplitter
-from eelgrassrack.gateway.exchange import Connection
 from eelgrassrack.gateway.ingress import Ingress
 from eelgrassrack.gateway.job import Job
 from eelgrassrack.gateway.pool import ConnectionPool
@@ -72,7 +72,7 @@
         test_endpoints.test_one_lost_answer_is_a_warning_to_all,
     ),
     "what peers saw makes an endpoint slow": (
-        [(flightnews, "find_slow", lambda timings: {})],
+        [(endpointreports, "find_slow", lambda timings: {})],
         test_endpoints.test_all_gateways_learn_which_endpoint_is_slow,
     ),
     "an organisation's burst gives way": (
--- a/test/gateway/test_last_words.py
+++ b/test/gateway/test_last_words.py
@@ -9,9 +9,9 @@
 import pytest
 
 from eelgrassrack.gateway.daemon import (
-    ANSWERED_SECONDS,
-    CLOSED_SECONDS,
-    DEAF_SECONDS,
+    ANSWER_MARGIN_SECONDS,
+    LISTEN_MARGIN_SECONDS,
+    REQUEST_MARGIN_SECONDS,
     ROTATION_SECONDS,
 )
 from eelgrassrack.gateway.ingress import FIRST_REQUEST_SECONDS
@@ -184,7 +184,7 @@
 
 MOMENTS = [
     GRACE_SECONDS - left - 0.1
-    for left in (ANSWERED_SECONDS, DEAF_SECONDS, CLOSED_SECONDS)
+    for left in (ANSWER_MARGIN_SECONDS, LISTEN_MARGIN_SECONDS, REQUEST_MARGIN_SECONDS)
 ]
 
 
--- a/test/gateway/test_late_arrivals.py
+++ b/test/gateway/test_late_arrivals.py
@@ -11,7 +11,7 @@
 import pytest
 
 from eelgrassrack.gateway import pool
-from eelgrassrack.gateway.daemon import DEAF_SECONDS, ROTATION_SECONDS
+from eelgrassrack.gateway.daemon import LISTEN_MARGIN_SECONDS, ROTATION_SECONDS
 from eelgrassrack.standins.directengine import (
     Break,
     Echo,
@@ -160,7 +160,7 @@
             keeping.writer.write(HALF)
             stopping = asyncio.ensure_future(gateway.stop())
             grace = world.settings[0].grace_seconds
-            await asyncio.sleep(grace - DEAF_SECONDS - 0.1)
+            await asyncio.sleep(grace - LISTEN_MARGIN_SECONDS - 0.1)
             caller = await connect(world.settings[0].listen)
             caller.send("/look/1")
             assert (await caller.read()).status == 503
@@ -214,7 +214,7 @@
 
 async def ask_late(world, dice, number):
     """Ask late in a stop; return None when the process has ended already."""
-    last = world.settings[0].grace_seconds - DEAF_SECONDS
+    last = world.settings[0].grace_seconds - LISTEN_MARGIN_SECONDS
     await asyncio.sleep(dice.uniform(ROTATION_SECONDS + 0.1, last))
     try:
         caller = await connect(world.settings[0].listen)
--- a/test/gateway/test_news.py
+++ b/test/gateway/test_news.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from eelgrassrack.decisions.stopping import Readiness
-from eelgrassrack.gateway.beliefs import Peer
-from eelgrassrack.gateway.news import Audience, News, NewsExchange
-from eelgrassrack.gateway.sharing import Known, make_path, read_path
+from eelgrassrack.gateway.peerupdates import Audience, PeerUpdate, UpdateExchange
+from eelgrassrack.gateway.storeobjects import Peer
+from eelgrassrack.gateway.storeviews import KnownRevisions, make_path, read_path
 from eelgrassrack.platform.store import Kinds
 
 from .world import make_world, run, wait_for
@@ -22,7 +22,7 @@
         self.sent = []
 
     def sendto(self, data, address):
-        self.sent.append((address[0], msgspec.msgpack.decode(data, type=News)))
+        self.sent.append((address[0], msgspec.msgpack.decode(data, type=PeerUpdate)))
 
     def list_for(self, address):
         return [news for to, news in self.sent if to == address]
@@ -35,20 +35,20 @@
         self.changes = {}
 
     def make(self, *, audience, **rest):
-        news = News(configuration=1, knows_store=True, domain="north", **rest)
+        news = PeerUpdate(configuration=1, knows_store=True, domain="north", **rest)
         return msgspec.structs.replace(news, **self.changes)
 
 
 def make_exchange(*, near, far):
     """Return an exchange that has heard so many peers, its teller and its line."""
     teller, line = Teller(), Line()
-    exchange = NewsExchange(
+    exchange = UpdateExchange(
         name="me",
         domain="north",
         address=("10.0.0.1", 7),
         seeds=(),
-        make_news=teller.make,
-        take_news=lambda news: None,
+        make_update=teller.make,
+        receive_update=lambda news: None,
     )
     exchange.connection_made(line)
     names = [("north", f"10.0.1.{n}") for n in range(near)]
@@ -57,7 +57,7 @@
         {address: Peer(name=address, address=(address, 7)) for _, address in names}
     )
     for domain, address in names:
-        news = News(address, "life", 7, 1, 1, True, domain=domain)
+        news = PeerUpdate(address, "life", 7, 1, 1, True, domain=domain)
         exchange.datagram_received(msgspec.msgpack.encode(news), (address, 7))
     return exchange, teller, line
 
@@ -94,7 +94,7 @@
         before = len(line.list_for("10.0.2.0"))
         exchange.send()
         assert len(line.list_for("10.0.2.0")) == before
-        for change in ({"doubted": (5,)}, {"configuration": 2}, {"revisions": (9,)}):
+        for change in ({"suspected": (5,)}, {"configuration": 2}, {"revisions": (9,)}):
             teller.changes |= change
             before = len(line.list_for("10.0.2.0"))
             exchange.send()
@@ -148,7 +148,7 @@
             audiences.append(audience)
             return make(audience=audience, **rest)
 
-        exchange._make_news = note
+        exchange._make_update = note
         for _ in range(ROUNDS):
             exchange.send()
         assert audiences.count(Audience.NEAR) == ROUNDS
@@ -158,9 +158,9 @@
 
 
 def test_a_path_says_what_the_asker_knows():
-    known = Known(configuration=7, revisions=(1, 2, 3, 4))
+    known = KnownRevisions(configuration=7, revisions=(1, 2, 3, 4))
     assert read_path(make_path(known)) == known
-    assert read_path("/beliefs") == Known()
+    assert read_path("/beliefs") == KnownRevisions()
     assert read_path("/metrics") is None
     assert read_path("/beliefs/x.1") is None
     assert read_path("/beliefs/-1.5") is None
@@ -177,12 +177,12 @@
             await world.add_engine("e1")
             gateway = await world.start_gateway()
             await world.wait_ready()
-            knowledge = gateway._knowledge
+            knowledge = gateway._store_sync
             await wait_for(lambda: all(knowledge.revisions))
-            whole = knowledge.describe(Known())
+            whole = knowledge.describe(KnownRevisions())
             assert whole.plan is not None
             assert [one.name for one in whole.endpoints] == ["e1"]
-            known = Known(configuration=1, revisions=knowledge.revisions)
+            known = KnownRevisions(configuration=1, revisions=knowledge.revisions)
             await world.add_engine("e2")
             await wait_for(lambda: gateway.fleet.find("e2") is not None)
             part = knowledge.describe(known)
@@ -251,7 +251,9 @@
         exchange, teller, line = make_exchange(near=2, far=14)
         assert exchange.readiness == Readiness(near=3, near_ready=2, far_ready=14)
         for domain, address in (("north", "10.0.1.0"), ("south", "10.0.2.0")):
-            news = News(address, "life", 7, 2, 1, True, domain=domain, is_ready=False)
+            news = PeerUpdate(
+                address, "life", 7, 2, 1, True, domain=domain, is_ready=False
+            )
             exchange.datagram_received(msgspec.msgpack.encode(news), (address, 7))
         assert exchange.readiness == Readiness(near=3, near_ready=1, far_ready=13)
         exchange.send()
