--- a/eelgrassrack/decisions/__init__.py
+++ b/eelgrassrack/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that need no network, clock or chance of their own."""
+"""Routing decisions as pure logic: callers pass in the time and random numbers."""
--- a/eelgrassrack/decisions/admission.py
+++ b/eelgrassrack/decisions/admission.py
@@ -1,20 +1,19 @@
-"""Who is let in, and when a refused caller had better come back.
-
-Load pattern: twice to five times the work the endpoints can do, sent by
-callers who come back when refused.  Without this module every request
-waits, most past its deadline, and the endpoints are busy with answers that
-nobody awaits any more; and callers refused together come back together.
-
-An arrival is refused at once for one of these reasons: its deadline has
-passed, its organisation runs as many as it may, its organisation sends
-faster than it may (a token bucket), or the backlog can't drain in time for
-its deadline.  A refusal is the final answer; nothing is held back.
-
-The time to come back is when the backlog will have drained far enough, and at
-least half of it, plus the time that the work of those refused before takes:
-each refusal books the next stretch of the drain, so callers come back one
-after the other.  Chance spreads them further, since entries book without
-knowing of each other.
+"""Admission control: accept or refuse requests, and tell refused callers when to retry.
+
+It guards against two to five times as much work as the endpoints can do, sent by
+callers that retry when refused.  Without it every request would queue, most past
+their deadlines, and the endpoints would produce answers that nobody awaits any
+more.  Callers that were refused together would also retry together.
+
+A request is refused on arrival if its deadline has passed, if its organisation has
+reached its concurrency limit or its rate limit (a token bucket), or if the backlog
+can't drain in time for its deadline.  A refusal is final: no request is held back.
+
+A refused caller may retry once the backlog will have drained far enough for it, and
+at least by half, and once the work of the callers refused before it will be done.
+Each refusal reserves the next stretch of the drain, so that callers retry one after
+the other.  Jitter spreads the retries further, since entries don't know of each
+other's reservations.
 """
 
 import enum
@@ -23,52 +22,53 @@
 
 from ..document.sections import Organisation
 
-# The part of a request's time that may go into waiting, by priority.  Under
-# lasting overload the queue is always as long as this allows: a longer one
-# serves no more, it only makes everyone wait and some come too late.  A
-# shorter one refuses more of a burst of ten seconds that could be served.
-# The lowest priority gives way first.  docs/LOAD.md has the figures.
+# Share of a request's remaining time that it may spend in the queue, by priority
+# (lowest first).  Under sustained overload the queue always grows to this limit.  A
+# longer queue serves no more requests and makes some of them late; a shorter one
+# refuses more of a ten-second burst that could be served.  The lowest priority is
+# refused first.  docs/LOAD.md has the figures.
 WAIT_SHARES = (0.3, 0.5, 0.6)
 
-# No more than this is kept in reserve: the drain rate is off by seconds, not by
-# a part of an hour, and a draft may wait as long as it arrives before its
-# deadline.  Without it a job with ten minutes is refused by a queue of five.
-LONGEST_RESERVE = 120.0
+# Upper bound on the time that is held back from waiting.  The drain rate is wrong by
+# seconds, not by a fraction of an hour, and a draft may wait for as long as it still
+# meets its deadline.  Without the bound a five-minute queue would refuse a job that
+# has ten minutes.
+MAX_RESERVE_SECONDS = 120.0
 
-# A caller that was refused comes back with less time left.  Held to a share of
-# that alone, it is held to a shorter queue than newcomers, and at half load
-# the queue drains no faster than its allowance shrinks: it would never be let
-# in.  It may wait as long as a request of the usual deadline, if that leaves
-# a fifth of its time in reserve.
-MOST_SHARE = 0.8
+# A caller that retries has less time left.  If only a share of that time counted, the
+# caller would be allowed a shorter queue than new callers; at half load the queue
+# drains no faster than that allowance shrinks, so the caller would never be accepted.
+# It may therefore wait as long as a request with the usual deadline, provided that a
+# fifth of its own time is left.
+MAX_WAIT_SHARE = 0.8
 
-# An engine emits a token for a stream each 33 ms at the target size.
+# An engine emits one token per stream every 33 ms at the target size.
 SECONDS_PER_TOKEN = 0.033
 
-# The expected length of an answer is a guess; no more than this part of a
-# request's time is set aside for it, else a caller that names no length
-# would be refused by an idle endpoint.
-LONGEST_RUN_SHARE = 0.5
+# The expected length of an answer is a guess, so at most this share of a request's
+# time is reserved for running it.  Otherwise an idle endpoint would refuse callers
+# that state no length.
+MAX_RUN_SHARE = 0.5
 
-# A request that may not be repeated takes a claim in the store first: a
-# write of milliseconds, taken here as slow as a busy store makes it.
+# A request that may not be repeated first needs a claim in the store.  The write takes
+# milliseconds; this is its duration on a busy store.
 CLAIM_SECONDS = 0.25
 
-# Bounds of the time to come back: below a second callers poll, and beyond
-# two minutes the backlog is no longer the one that was measured.
-SHORTEST_RETRY = 1.0
-LONGEST_RETRY = 120.0
+# Bounds of the retry time.  Below a second callers would poll; after two minutes the
+# backlog is no longer the one that was measured.
+MIN_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 120.0
 
-# A refused caller comes back when this part of the backlog will have drained.
-# Coming back as soon as there is room for one finds it taken by newcomers.
+# Share of the backlog that must drain before a refused caller retries.  If it retried
+# as soon as there was room for one request, new callers would have taken that room.
 DRAINED_SHARE = 0.5
 
-# Chance lengthens the time to come back by up to half.
-SPREAD = 0.5
+# Jitter lengthens the retry time by up to half.
+JITTER_SHARE = 0.5
 
 
 class RefusedReason(enum.Enum):
-    """Why an arrival was refused."""
+    """Why a request was refused."""
 
     DEADLINE_PASSED = "deadline_passed"
     CONCURRENT = "concurrent"
@@ -77,10 +77,11 @@
 
 
 class Arrival(msgspec.Struct, kw_only=True, frozen=True):
-    """A request that asks to be let in.
+    """A request that asks for admission.
 
-    `within` is seconds to its deadline, `usual` those that requests have
-    when they come first.
+    `within` is the seconds until its deadline, `usual` the seconds that requests
+    have until their deadlines when they are first sent.  `tokens` is the expected
+    length of the answer.
     """
 
     organisation: str
@@ -92,12 +93,12 @@
 
 
 class Backlog(msgspec.Struct, kw_only=True, frozen=True):
-    """The work ahead of an arrival.
+    """The work queued ahead of a request.
 
-    `tokens` wait in all, `drain` is how many leave in a second (zero when
-    unknown).  Where turns are fair by organisation, `own` is how many of
-    them are the organisation's own and `weights` the sum of the weights of
-    all organisations that wait, itself included.
+    `tokens` is the total queued, `drain` the tokens that leave the queue per second
+    (0 if unknown).  Where the queue is fair between organisations, `own` is the
+    tokens queued by the request's organisation, and `weights` the sum of the weights
+    of all queued organisations, including this one.
     """
 
     tokens: int = 0
@@ -107,18 +108,18 @@
 
 
 class Admitted(msgspec.Struct, kw_only=True, frozen=True):
-    """The request is let in; `release` it when it has ended."""
+    """The request is accepted; call `Admission.release` when it has ended."""
 
 
 class Refused(msgspec.Struct, kw_only=True, frozen=True):
-    """The request is refused; it may come back after `retry_after` seconds."""
+    """The request is refused; the caller may retry after `retry_after` seconds."""
 
     reason: RefusedReason
     retry_after: float
 
 
 class RetrySchedule:
-    """Work of refused callers that is expected to come back."""
+    """The work that refused callers are expected to send again, in order."""
 
     __slots__ = ("_amount", "_at")
 
@@ -127,49 +128,49 @@
         self._at = 0.0
 
     def reserve(self, *, amount: float, rate: float, now: float) -> float:
-        """Add `amount` and return the seconds until its turn.
+        """Append `amount` of work and return the seconds until its turn.
 
-        `rate` is how much is worked off in a second.
+        `rate` is the amount of work done per second.
         """
-        worked_off = max(now - self._at, 0.0) * rate
-        ahead = max(self._amount - worked_off, 0.0)
-        self._amount = min(ahead + amount, LONGEST_RETRY * rate)
+        done = max(now - self._at, 0.0) * rate
+        ahead = max(self._amount - done, 0.0)
+        self._amount = min(ahead + amount, MAX_RETRY_SECONDS * rate)
         self._at = now
         return ahead / rate
 
 
 class Account:
-    """What one organisation has running and may still send."""
+    """One organisation's running requests and token bucket."""
 
-    __slots__ = ("_at", "_level", "bookings", "running")
+    __slots__ = ("_at", "_level", "retries", "running")
 
     def __init__(self, *, burst: float, now: float) -> None:
         self.running = 0
-        self.bookings = RetrySchedule()
+        self.retries = RetrySchedule()
         self._level = burst
         self._at = now
 
     def refill(self, *, organisation: Organisation, now: float) -> float:
-        """Return how many requests the organisation may send now."""
+        """Refill the bucket and return how many requests may be sent now."""
         earned = max(now - self._at, 0.0) * organisation.requests_per_second
         self._level = min(self._level + earned, max(organisation.burst, 1.0))
         self._at = max(now, self._at)
         return self._level
 
     def spend(self) -> None:
-        """Count one request that is let in."""
+        """Take a token for an accepted request."""
         self._level -= 1.0
         self.running += 1
 
 
 class Admission:
-    """Judge arrivals by their organisation's limits and the backlog."""
+    """Accept or refuse requests by their organisation's limits and the backlog."""
 
-    __slots__ = ("_accounts", "_bookings")
+    __slots__ = ("_accounts", "_retries")
 
     def __init__(self) -> None:
         self._accounts: dict[str, Account] = {}
-        self._bookings = RetrySchedule()
+        self._retries = RetrySchedule()
 
     def judge(
         self,
@@ -180,12 +181,15 @@
         now: float,
         chance: float,
     ) -> Admitted | Refused:
-        """Let an arrival in or refuse it for good."""
+        """Accept or refuse a request.
+
+        `now` is in seconds; `chance` is a random number in [0, 1) for the jitter.
+        """
         account = self._find_account(organisation=organisation, now=now)
         level = account.refill(organisation=organisation, now=now)
         if arrival.within <= 0:
             return _refuse(RefusedReason.DEADLINE_PASSED, seconds=0.0, chance=chance)
-        late = _estimate_lateness(
+        lateness = _estimate_lateness(
             arrival=arrival, weight=organisation.weight, backlog=backlog
         )
         wait = estimate_wait(
@@ -193,24 +197,24 @@
         )
         drained = wait * DRAINED_SHARE
         if account.running >= organisation.concurrent:
-            seconds = max(late, drained)
+            seconds = max(lateness, drained)
             return _refuse(RefusedReason.CONCURRENT, seconds=seconds, chance=chance)
         if level < 1.0:
             seconds = _wait_for_rate(
                 account=account, organisation=organisation, level=level, now=now
             )
             return _refuse(RefusedReason.RATE, seconds=seconds, chance=chance)
-        if late > 0:
-            ahead = self._bookings.reserve(
+        if lateness > 0:
+            ahead = self._retries.reserve(
                 amount=arrival.tokens, rate=backlog.drain, now=now
             )
-            seconds = max(late, drained) + ahead
+            seconds = max(lateness, drained) + ahead
             return _refuse(RefusedReason.BACKLOG, seconds=seconds, chance=chance)
         account.spend()
         return Admitted()
 
     def release(self, *, organisation: str) -> None:
-        """Count the end of a request that was let in."""
+        """Count the end of an accepted request."""
         account = self._accounts.get(organisation)
         if account is not None:
             account.running = max(account.running - 1, 0)
@@ -224,10 +228,10 @@
 
 
 def estimate_wait(*, arrival: Arrival, weight: float, backlog: Backlog) -> float:
-    """Return the seconds an arrival is expected to wait.
+    """Return the seconds that a request is expected to wait.
 
-    In fair turns an organisation waits for its own work at its share of the
-    drain, but never longer than for all the work there is.
+    In a fair queue an organisation waits for its own work, which drains at the
+    organisation's share of the rate, and at most for all queued work.
     """
     if backlog.drain <= 0:
         return 0.0
@@ -239,29 +243,37 @@
 
 
 def _estimate_lateness(*, arrival: Arrival, weight: float, backlog: Backlog) -> float:
-    """Return by how many seconds the wait is too long; negative if it isn't."""
+    """Return the seconds by which the wait is too long, negative if it is short enough.
+
+    The allowed wait is a share of the request's free time: its remaining time without
+    the expected run and the claim.
+    """
     wait = estimate_wait(arrival=arrival, weight=weight, backlog=backlog)
     claim = 0.0 if arrival.repeatable else CLAIM_SECONDS
-    longest_run = arrival.within * LONGEST_RUN_SHARE
+    longest_run = arrival.within * MAX_RUN_SHARE
     run = min(arrival.tokens * SECONDS_PER_TOKEN, longest_run)
     level = min(max(arrival.priority, 0), len(WAIT_SHARES) - 1)
     free = arrival.within - run - claim
     share = WAIT_SHARES[level]
     usual = (arrival.usual - run - claim) * share
-    allowed = max(free * share, min(free * MOST_SHARE, usual), free - LONGEST_RESERVE)
+    allowed = max(
+        free * share, min(free * MAX_WAIT_SHARE, usual), free - MAX_RESERVE_SECONDS
+    )
     return wait - allowed if wait > 0 else -max(allowed, 0.0)
 
 
 def _wait_for_rate(
     *, account: Account, organisation: Organisation, level: float, now: float
 ) -> float:
+    """Return the seconds until the rate limit permits the request."""
     rate = organisation.requests_per_second
     if rate <= 0:
-        return LONGEST_RETRY
-    ahead = account.bookings.reserve(amount=1.0, rate=rate, now=now)
+        return MAX_RETRY_SECONDS
+    ahead = account.retries.reserve(amount=1.0, rate=rate, now=now)
     return (1.0 - level) / rate + ahead
 
 
 def _refuse(reason: RefusedReason, *, seconds: float, chance: float) -> Refused:
-    bounded = min(max(seconds, SHORTEST_RETRY), LONGEST_RETRY)
-    return Refused(reason=reason, retry_after=bounded * (1.0 + SPREAD * chance))
+    """Return a refusal with a bounded and jittered retry time."""
+    bounded = min(max(seconds, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
+    return Refused(reason=reason, retry_after=bounded * (1.0 + JITTER_SHARE * chance))
--- a/eelgrassrack/decisions/backlog.py
+++ b/eelgrassrack/decisions/backlog.py
@@ -1,11 +1,10 @@
-"""What an engine still has to read, by how urgent it is.
-
-Load pattern: under overload engines have seconds of long prompts to read, most
-of them of a low rank.  An engine reads the urgent ones first, so that a short
-question with a high rank waits for hardly anything.  Whoever takes the whole
-queue for its wait takes a better model for out of reach, though its answer
-costs the engine a fiftieth of what a long prompt does, and gives the caller an
-answer of the cheapest one that is worth nothing.
+"""The prompts that an engine has yet to read (prefill), in seconds by urgency.
+
+Under overload engines have seconds of long prompts to read, most of them of low rank,
+but they read urgent prompts first, so a short question of high rank hardly waits.  An
+estimate that counted the whole queue would rule out the better models for it, though
+its prompt costs the engine a fiftieth of a long one, and the caller would get a
+worthless answer from the cheapest model.
 """
 
 from collections.abc import Iterable
@@ -14,37 +13,37 @@
 
 from .urgency import RANKS
 
-# A prompt that is being read isn't put aside for a more urgent one: half of a
-# long prompt's time with the best model.
-UNDER_WAY_SECONDS = 0.1
+# Upper bound on the wait for a less urgent prompt that is already being read, since the
+# engine doesn't interrupt it: half of a long prompt's time with the best model.
+IN_PROGRESS_SECONDS = 0.1
 
-# What is less urgent counts by this part when engines are compared: it doesn't
-# hold the request up, but the request holds it up.
-BEHIND_PART = 0.2
+# Weight of less urgent prompts when engines are compared: they don't delay the request,
+# but the request delays them.
+BEHIND_WEIGHT = 0.2
 
-# Less is what rounding leaves of work that has ended.
-LEAST_SECONDS = 1e-6
+# Smaller values are rounding errors of work that has ended.
+ROUNDING_SECONDS = 1e-6
 
 
 class Split(msgspec.Struct, frozen=True):
-    """Seconds of reading `ahead` of a request and `behind` it."""
+    """Seconds of prompts that an engine reads `ahead` of a request and `behind` it."""
 
     ahead: float
     behind: float
 
     @property
     def wait(self) -> float:
-        """Return the seconds before the request is read."""
-        return self.ahead + min(self.behind, UNDER_WAY_SECONDS)
+        """Return the seconds until the engine starts to read the request."""
+        return self.ahead + min(self.behind, IN_PROGRESS_SECONDS)
 
     @property
     def burden(self) -> float:
-        """Return the seconds by which engines are compared for the request."""
-        return self.ahead + self.behind * BEHIND_PART
+        """Return the weighted seconds by which engines are compared."""
+        return self.ahead + self.behind * BEHIND_WEIGHT
 
 
 class ReadingBacklog:
-    """Seconds of reading by urgency, 0 for the most urgent."""
+    """Seconds of prompts to read, by urgency; 0 is the most urgent."""
 
     __slots__ = ("_seconds",)
 
@@ -54,23 +53,23 @@
             self.add(urgency, seconds)
 
     def add(self, urgency: int, seconds: float) -> None:
-        """Count more to read, or less where `seconds` is negative."""
+        """Add prompts of an urgency, or remove them if `seconds` is negative."""
         self._seconds[urgency] += seconds
 
     @property
     def whole(self) -> float:
-        """Return the seconds of all there is to read."""
+        """Return the seconds of all prompts."""
         return sum(self._seconds)
 
     def split(self, urgency: int) -> "Split":
-        """Return what is read before a request of an urgency, and after it."""
+        """Split the backlog into what precedes and follows a request of an urgency."""
         ahead = sum(self._seconds[: urgency + 1])
         return Split(ahead, self.whole - ahead)
 
     def list_parts(self) -> list[tuple[int, float]]:
-        """Return the seconds of each urgency of which there are any."""
+        """Return (urgency, seconds) of each urgency that has prompts to read."""
         return [
             (urgency, seconds)
             for urgency, seconds in enumerate(self._seconds)
-            if seconds > LEAST_SECONDS
+            if seconds > ROUNDING_SECONDS
         ]
--- a/eelgrassrack/decisions/candidate.py
+++ b/eelgrassrack/decisions/candidate.py
@@ -1,15 +1,15 @@
-"""What is known of an endpoint when a request is placed."""
+"""The state of an endpoint that the choice of an endpoint is based on."""
 
 import msgspec
 
 
 class Candidate(msgspec.Struct, kw_only=True, frozen=True):
-    """An endpoint that serves what is asked for.
+    """An endpoint that can serve the request.
 
-    `running`, `queued` and `window` are as reported `reported_age` seconds
-    ago, `local` is how many of this entry's requests it has now, `latency`
-    the seconds of the network one way.  `group` names endpoints that may be
-    compared with each other in speed, as those of one pool.
+    `running`, `queued` and `window` are requests, as reported `reported_age` seconds
+    ago.  `local` is the number of this entry's requests at the endpoint now, `latency`
+    the one-way network latency in seconds.  Endpoints with the same `group`, such as
+    those of one pool, are comparable in speed.
     """
 
     name: str
--- a/eelgrassrack/decisions/detection.py
+++ b/eelgrassrack/decisions/detection.py
@@ -1,38 +1,37 @@
-"""Sequential tests that find out which of several versions is worse.
-
-As soon as both sides have new answers, their mean losses (0 to 1) since the
-last bet make a difference d = own - others - margin, and the evidence R
-becomes max(R, 1) * (1 + bet * d).  R never exceeds the Shiryaev-Roberts
-statistic of the same bets.  While the version is worse by no more than the
-margin, that statistic less the number of bets is a supermartingale, so R
-reaches a threshold A after A bets on average at the earliest, whatever the
-losses' distribution.  Unlike a test of fixed length it may be read after
-every answer, and it finds a version that turns bad late.
-
-Each answer is used in one bet only, against answers of the same time: a
-trouble that all versions share raises both sides and trips nothing.  A
-comparison with the others' running mean was tried first.  It found failures
-in fewer answers, but took a shared trouble for a bad version, and a sound
-old version for bad when the few answers of the new one were lucky.
+"""Sequential change detection: tests whether one version is worse than the others.
+
+Whenever both sides have new answers, the test places a bet: with the mean losses (0 to
+1) since the last bet, the difference is d = own - others - margin, and the evidence R
+becomes max(R, 1) * (1 + bet * d).  R never exceeds the Shiryaev-Roberts statistic of
+the same bets.  As long as the version is worse by at most the margin, that statistic
+minus the number of bets is a supermartingale, so R needs at least A bets on average to
+reach a threshold A, whatever the distribution of the losses.  Unlike a test of fixed
+length it can be read after every answer, and it detects a version that turns bad late.
+
+Each answer counts in one bet only, against answers of the same period, so a fault that
+all versions share raises both sides and has no effect.  A comparison with the running
+mean of the others detects failures in fewer answers, but mistakes a shared fault for a
+bad version, and a healthy old version for a bad one if the new version's few answers
+happen to be good.
 """
 
-# A difference in mean loss this small isn't worth an alarm.
+# Differences in mean loss up to this are ignored.
 MARGIN = 0.1
 
-# What is bet for each unit of difference, from small lasting differences to
-# outright failure; below 1 / (1 + MARGIN), so evidence stays positive.
+# Stakes per unit of difference, for small lasting differences up to outright failure.
+# They are below 1 / (1 + MARGIN), so that evidence stays positive.
 BETS = (0.1, 0.4, 0.88)
 
-# Means for the operators cover about the last hundred answers.
+# Weight of a new answer in the means shown to operators, which thus cover about the
+# last hundred answers.
 MEAN_WEIGHT = 1 / 50
 
-# Evidence beyond this says nothing new; it bounds how long a version that was
-# mended would take to lose it.
-MOST_EVIDENCE = 10_000.0
+# Upper bound of the evidence; it limits how long a repaired version takes to lose it.
+MAX_EVIDENCE = 10_000.0
 
 
 class Mean:
-    """A mean over the last samples."""
+    """A moving average over the latest samples."""
 
     __slots__ = ("samples", "value")
 
@@ -48,7 +47,7 @@
 
 
 class Batch:
-    """Losses since the last bet."""
+    """The losses since the last bet."""
 
     __slots__ = ("count", "total")
 
@@ -62,7 +61,7 @@
         self.total += loss
 
     def take(self) -> float:
-        """Return the mean and begin anew."""
+        """Return the mean of the batch and empty it."""
         mean = self.total / self.count
         self.count = 0
         self.total = 0.0
@@ -70,7 +69,7 @@
 
 
 class Detector:
-    """The evidence that one version is worse by one signal."""
+    """Collects evidence that one version is worse than the others in one signal."""
 
     __slots__ = ("_evidences", "_others", "_own", "evidence", "loss", "others_loss")
 
@@ -83,23 +82,24 @@
         self._evidences = [0.0] * len(BETS)
 
     def add_own(self, loss: float) -> bool:
-        """Take over a loss of the version; tell whether evidence changed."""
+        """Add a loss of this version; return whether the evidence changed."""
         self.loss.add(loss)
         self._own.add(loss)
         return self._bet()
 
     def add_other(self, loss: float) -> bool:
-        """Take over another version's loss; tell whether evidence changed."""
+        """Add a loss of another version; return whether the evidence changed."""
         self.others_loss.add(loss)
         self._others.add(loss)
         return self._bet()
 
     def _bet(self) -> bool:
+        """Place a bet if both sides have new losses; return whether they have."""
         if not self._own.count or not self._others.count:
             return False
         difference = self._own.take() - self._others.take() - MARGIN
         self._evidences = [
-            min(max(evidence, 1.0) * (1.0 + bet * difference), MOST_EVIDENCE)
+            min(max(evidence, 1.0) * (1.0 + bet * difference), MAX_EVIDENCE)
             for evidence, bet in zip(self._evidences, BETS, strict=True)
         ]
         self.evidence = sum(self._evidences) / len(BETS)
--- a/eelgrassrack/decisions/domains.py
+++ b/eelgrassrack/decisions/domains.py
@@ -1,72 +1,74 @@
-"""How fast a returning failure domain is given work again.
+"""The traffic ramp of a returning failure domain.
 
-Load pattern: operators bring a failure domain back under full load.  Without
-this module its endpoints, all cold and all idle, look best to every entry
-at once, and the backlog of the whole system falls on them together.
+When operators bring a failure domain back under full load, its endpoints are cold and
+idle, so they look best to every entry at once and would get the backlog of the whole
+system.
 
-A returning domain takes a share of the requests that would otherwise go to
-it, from a small first share to all of them over the document's
-`ramp_seconds`.  The remaining requests go to the domains that carried them
-until now, and nobody is refused for it.  A domain that is out takes none;
-the others are protected by admission, whose drain rate falls with it.
+A returning domain therefore gets only a share of the requests that would go to it,
+which rises from FIRST_SHARE to all of them within the document's `ramp_seconds`.  The
+other requests stay with the domains that have served them; none is refused.  A domain
+that is out gets none.  Admission protects the others, since its drain rate falls.
 """
 
-# The first share lets a trickle in at once: it finds out whether the domain
-# works at all, and its cold windows need whole answers to grow.
+# The first requests show whether the domain works at all, and give its cold endpoints
+# the complete answers that their windows need to grow.
 FIRST_SHARE = 0.05
 
 
 class DomainRamp:
-    """The share of new work that each failure domain takes."""
+    """The share of its usual requests that each failure domain gets.
 
-    __slots__ = ("_returned", "_seconds", "seconds")
+    `seconds` is the usual duration of a ramp.
+    """
+
+    __slots__ = ("_returned_at", "_ramp_seconds", "seconds")
 
     def __init__(self, *, seconds: float) -> None:
         self.seconds = seconds
-        # When a domain returned; None while it is out.  One that never was
-        # out isn't here.
-        self._returned: dict[str, float | None] = {}
-        self._seconds: dict[str, float] = {}
+        # The time at which a domain returned, None while it is out.  Domains that
+        # were never out are missing.
+        self._returned_at: dict[str, float | None] = {}
+        self._ramp_seconds: dict[str, float] = {}
 
     def note_state(
         self, *, domain: str, is_in: bool, now: float, seconds: float | None = None
     ) -> None:
-        """Take over whether a domain is in; the change starts its ramp.
+        """Note whether a domain is in; its return starts the ramp.
 
-        `seconds` is how long this domain's ramp lasts, if not the usual.
+        `seconds` is the duration of this domain's ramp if it isn't the usual one.
         """
-        self._seconds[domain] = self.seconds if seconds is None else seconds
+        self._ramp_seconds[domain] = self.seconds if seconds is None else seconds
         if not is_in:
-            self._returned[domain] = None
-        elif domain in self._returned and self._returned[domain] is None:
-            self._returned[domain] = now
+            self._returned_at[domain] = None
+        elif domain in self._returned_at and self._returned_at[domain] is None:
+            self._returned_at[domain] = now
 
-    def share(self, *, domain: str, now: float) -> float:
-        """Return the share, 0 to 1, of its usual work that a domain takes."""
-        if domain not in self._returned:
+    def find_share(self, *, domain: str, now: float) -> float:
+        """Return the share, 0 to 1, of its usual requests that a domain gets."""
+        if domain not in self._returned_at:
             return 1.0
-        returned = self._returned[domain]
-        if returned is None:
+        returned_at = self._returned_at[domain]
+        if returned_at is None:
             return 0.0
-        elapsed = max(now - returned, 0.0)
-        seconds = self._seconds[domain]
+        elapsed = max(now - returned_at, 0.0)
+        seconds = self._ramp_seconds[domain]
         if elapsed >= seconds:
             return 1.0
         return FIRST_SHARE + (1.0 - FIRST_SHARE) * elapsed / seconds
 
     def admits(self, *, domain: str, chance: float, now: float) -> bool:
-        """Tell whether a domain takes one more request."""
-        return chance < self.share(domain=domain, now=now)
+        """Return whether a domain gets a request; `chance` is random in [0, 1)."""
+        return chance < self.find_share(domain=domain, now=now)
 
     def select(
         self, *, domains: frozenset[str], chance: float, now: float
     ) -> frozenset[str]:
-        """Return the domains that one request may go to.
+        """Return the domains that a request may go to; `chance` is random in [0, 1).
 
-        If the ramp leaves none, all that are in may be used: it protects
-        a domain from what others can carry, and here are no others.
+        If the ramps exclude all domains, every domain that is in may be used: a ramp
+        only protects a domain from load that others can take.
         """
-        shares = {domain: self.share(domain=domain, now=now) for domain in domains}
+        shares = {domain: self.find_share(domain=domain, now=now) for domain in domains}
         admitting = {domain for domain, share in shares.items() if chance < share}
         is_in = {domain for domain, share in shares.items() if share > 0}
         return frozenset(admitting or is_in)
--- a/test/decisions/test_admission.py
+++ b/test/decisions/test_admission.py
@@ -1,7 +1,7 @@
-"""Tests of admission: limits, deadlines and when to come back."""
+"""Tests of admission control: limits, deadlines and retry times."""
 
 from eelgrassrack.decisions.admission import (
-    LONGEST_RETRY,
+    MAX_RETRY_SECONDS,
     Admission,
     Admitted,
     Arrival,
@@ -37,10 +37,10 @@
     assert 29 <= len(admitted) <= 31
     refused = [one for one in verdicts if isinstance(one, Refused)]
     assert {one.reason for one in refused} == {RefusedReason.RATE}
-    # Those refused are told to come back one after the other, at the rate.
+    # The refused callers may retry one after the other, at the permitted rate.
     times = [one.retry_after for one in refused]
     assert times[500] - times[400] > 5.0
-    assert max(times) <= LONGEST_RETRY
+    assert max(times) <= MAX_RETRY_SECONDS
 
 
 def test_concurrent_limit_and_release():
@@ -58,7 +58,7 @@
 def test_refused_at_arrival_when_the_backlog_is_too_long():
     """The backlog needs 100 s and the caller has 60 s.
 
-    Admitted, it would wait for a minute and then be told that it is late.
+    If it were admitted, it would wait for a minute and then be refused as too late.
     """
     admission = Admission()
     backlog = Backlog(tokens=100_000, drain=1_000.0)
@@ -72,12 +72,12 @@
 
 
 def test_quiet_organisation_is_not_refused_for_others_backlog():
-    """Another organisation has queued 100 s of work; turns are fair."""
+    """Another organisation has queued 100 s of work in a fair queue."""
     backlog = Backlog(tokens=100_000, drain=1_000.0, own=200, weights=2.0)
     assert isinstance(judge(Admission(), backlog=backlog), Admitted)
 
 
-def test_lower_priority_gives_way_first():
+def test_lower_priority_is_refused_first():
     backlog = Backlog(tokens=25_000, drain=1_000.0)
     assert isinstance(judge(Admission(), backlog=backlog, priority=0), Refused)
     assert isinstance(judge(Admission(), backlog=backlog, priority=1), Admitted)
@@ -86,7 +86,7 @@
 def test_callers_refused_together_do_not_return_together():
     """A thousand callers are refused in the same instant.
 
-    Told the same time they would all be back, and refused, together.
+    With the same retry time they would all retry, and be refused, together.
     """
     admission = Admission()
     backlog = Backlog(tokens=60_000, drain=1_000.0)
@@ -106,9 +106,10 @@
 
 
 def test_refused_caller_comes_back_when_half_has_drained():
-    """A burst leaves 40 s of work; newcomers keep taking what drains.
+    """A burst leaves 40 s of work, and new callers keep taking the room that drains.
 
-    Back as soon as there was room for one, it would be refused again.
+    If the refused caller retried as soon as there was room for one request, it would be
+    refused again.
     """
     backlog = Backlog(tokens=40_000, drain=1_000.0)
     refused = judge(Admission(), backlog=backlog)
@@ -117,24 +118,25 @@
 
 
 def test_draft_may_wait_for_most_of_its_time():
-    """Reviews are queued overnight, with an hour each and 50 minutes ahead."""
+    """Reviews are queued overnight with an hour each, behind 50 minutes of work."""
     backlog = Backlog(tokens=3_000_000, drain=1_000.0)
     assert isinstance(judge(Admission(), backlog=backlog, within=3_600.0), Admitted)
     refused = judge(Admission(), backlog=backlog, within=3_060.0)
     assert refused.reason is RefusedReason.BACKLOG
 
 
-def test_who_comes_back_is_held_to_the_queue_of_newcomers():
-    """A caller is refused and told when to come back, with less time left then.
+def test_retrying_caller_may_wait_as_long_as_a_new_one():
+    """A refused caller has less time left when it retries.
 
-    At half load the queue drains no faster than a share of the time it has
-    left shrinks. Held to that it would be refused until its deadline.
+    At half load the queue drains no faster than a share of the caller's remaining time
+    shrinks.  If only that share were allowed, every retry would be refused until the
+    deadline.
     """
     late_in_time = {"within": 40.0, "usual": 60.0}
     backlog = Backlog(tokens=25_000, drain=1_000.0)
     assert isinstance(judge(Admission(), backlog=backlog, **late_in_time), Admitted)
     # Without the usual deadline the same caller is refused.
     assert isinstance(judge(Admission(), backlog=backlog, within=40.0), Refused)
-    # Nor is anyone let in who could hardly end in time.
+    # A request that could hardly end in time isn't admitted either.
     too_late = {"within": 30.0, "usual": 60.0}
     assert isinstance(judge(Admission(), backlog=backlog, **too_late), Refused)
--- a/test/decisions/test_cascade.py
+++ b/test/decisions/test_cascade.py
@@ -1,4 +1,4 @@
-"""Tests of the cascade's choices."""
+"""Tests of the cascade planner."""
 
 import math
 import random
@@ -23,40 +23,41 @@
 TARGET = 0.8
 
 
-def plan(chooser, *, kind="k", preference=Preference.COST, chance=0.9):
-    return chooser.plan(
+def plan(planner, *, kind="k", preference=Preference.COST, chance=0.9):
+    return planner.plan(
         kind=kind, target=TARGET, preference=preference, rungs=RUNGS, chance=chance
     )
 
 
-def teach(chooser, kind, model, *ratings, now=0.0):
+def teach(planner, kind, model, *ratings, now=0.0):
     for rating in ratings:
-        chooser.note(kind=kind, rung_model=model, rating=rating, now=now)
+        planner.note(kind=kind, rung_model=model, rating=rating, now=now)
 
 
-def answer(dice, *, good):
-    return dice.uniform(0.8, 1.0) if dice.random() < good else dice.uniform(0.3, 0.79)
+def answer(rng, *, good):
+    return rng.uniform(0.8, 1.0) if rng.random() < good else rng.uniform(0.3, 0.79)
 
 
 def test_cost_at_the_target_is_below_the_best_model():
-    """Easy kinds are answered well by the small model, hard ones seldom.
+    """The small model answers the easy kind well and the hard one seldom.
 
-    Always the best model costs 16 a request; the target holds for all.
+    The best model alone would cost 16 per request.  All answers together must still
+    reach the target on average.
     """
-    goods = {"easy": (0.95, 0.97, 0.99), "hard": (0.05, 0.1, 0.97)}
-    chooser, dice = CascadePlanner(), random.Random(1)
+    probabilities = {"easy": (0.95, 0.97, 0.99), "hard": (0.05, 0.1, 0.97)}
+    planner, rng = CascadePlanner(), random.Random(1)
     costs, delivered = [], []
     firsts = {"easy": [], "hard": []}
     for number in range(2_000):
-        kind = "easy" if dice.random() < 0.7 else "hard"
-        at = plan(chooser, kind=kind, chance=dice.random()).first
+        kind = "easy" if rng.random() < 0.7 else "hard"
+        at = plan(planner, kind=kind, chance=rng.random()).first
         firsts[kind].append(at)
         cost = 0.0
         for index in range(at, len(RUNGS)):
-            rating = answer(dice, good=goods[kind][index])
+            rating = answer(rng, good=probabilities[kind][index])
             cost += RUNGS[index].cost
-            teach(chooser, kind, RUNGS[index].model, rating, now=number / 10)
-            verdict = chooser.judge(
+            teach(planner, kind, RUNGS[index].model, rating, now=number / 10)
+            verdict = planner.judge(
                 rating=rating, target=TARGET, rung=RUNGS[index], last=index == 2
             )
             if verdict == Deliver():
@@ -70,59 +71,59 @@
 
 
 def test_sure_rung_streams_for_latency_only():
-    chooser = CascadePlanner()
-    teach(chooser, "k", "small", *[0.9 + n / 1_000 for n in range(40)])
-    latency = plan(chooser, preference=Preference.LATENCY)
+    planner = CascadePlanner()
+    teach(planner, "k", "small", *[0.9 + n / 1_000 for n in range(40)])
+    latency = plan(planner, preference=Preference.LATENCY)
     assert (latency.first, latency.direct) == (0, True)
-    cost = plan(chooser)
+    cost = plan(planner)
     assert (cost.first, cost.direct) == (0, False)
 
 
-def test_latency_goes_on_less():
-    """One in three answers of the small model must be done again."""
-    chooser = CascadePlanner()
+def test_latency_escalates_less():
+    """One in three answers of the small model must be escalated."""
+    planner = CascadePlanner()
     ratings = [0.9, 0.85, 0.5] * 20
-    teach(chooser, "k", "small", *ratings)
-    teach(chooser, "k", "middle", *[0.9 + n / 1_000 for n in range(60)])
-    assert plan(chooser).first == 0
-    assert plan(chooser, preference=Preference.LATENCY).first == 1
+    teach(planner, "k", "small", *ratings)
+    teach(planner, "k", "middle", *[0.9 + n / 1_000 for n in range(60)])
+    assert plan(planner).first == 0
+    assert plan(planner, preference=Preference.LATENCY).first == 1
 
 
 def test_exploring_tries_the_rung_below():
-    chooser = CascadePlanner()
-    teach(chooser, "k", "small", *[0.1 + n / 1_000 for n in range(40)])
-    teach(chooser, "k", "middle", *[0.1 + n / 1_000 for n in range(40)])
-    assert plan(chooser).first == 2
-    assert plan(chooser, chance=0.0).first == 1
+    planner = CascadePlanner()
+    teach(planner, "k", "small", *[0.1 + n / 1_000 for n in range(40)])
+    teach(planner, "k", "middle", *[0.1 + n / 1_000 for n in range(40)])
+    assert plan(planner).first == 2
+    assert plan(planner, chance=0.0).first == 1
 
 
 def test_silent_rating_service():
     """The rating service stops answering.
 
-    Asking every rung each time would multiply the load for nothing.
+    Asking every rung each time would multiply the load for no gain.
     """
-    chooser = CascadePlanner()
-    teach(chooser, "easy", "small", *[0.9 + n / 1_000 for n in range(40)])
+    planner = CascadePlanner()
+    teach(planner, "easy", "small", *[0.9 + n / 1_000 for n in range(40)])
     escalated = 0
     for _ in range(100):
-        verdict = chooser.judge(
+        verdict = planner.judge(
             rating=None, target=TARGET, rung=RUNGS[0], last=False, kind="hard"
         )
         escalated += verdict == Escalate(reason=EscalateReason.NO_RATING)
     assert escalated < SILENT_AFTER
-    assert chooser.is_blind
-    easy, hard = plan(chooser, kind="easy"), plan(chooser, kind="hard")
+    assert planner.lacks_ratings
+    easy, hard = plan(planner, kind="easy"), plan(planner, kind="hard")
     assert (easy.first, easy.direct) == (0, True)
     assert (hard.first, hard.direct) == (2, True)
-    teach(chooser, "hard", "large", 0.9)
-    assert not chooser.is_blind
+    teach(planner, "hard", "large", 0.9)
+    assert not planner.lacks_ratings
 
 
 def test_slow_rating_delivers_what_is_usually_good():
-    chooser = CascadePlanner()
-    teach(chooser, "k", "small", *[0.9 + n / 1_000 for n in range(40)])
+    planner = CascadePlanner()
+    teach(planner, "k", "small", *[0.9 + n / 1_000 for n in range(40)])
     judged = {
-        kind: chooser.judge(
+        kind: planner.judge(
             rating=None, target=TARGET, rung=RUNGS[0], last=False, kind=kind
         )
         for kind in ("k", "unknown")
@@ -132,44 +133,45 @@
 
 
 def test_service_that_rates_all_too_low_costs_no_more_than_the_best():
-    chooser, dice = CascadePlanner(), random.Random(1)
+    planner, rng = CascadePlanner(), random.Random(1)
     firsts = []
     for _ in range(60):
-        at = plan(chooser)
+        at = plan(planner)
         firsts.append(at.first)
         for rung in RUNGS[at.first :]:
-            teach(chooser, "k", rung.model, dice.uniform(0.0, 0.2))
+            teach(planner, "k", rung.model, rng.uniform(0.0, 0.2))
     assert set(firsts[20:]) == {2}
 
 
 def test_stuck_service_stops_teaching():
-    chooser = CascadePlanner()
-    teach(chooser, "k", "small", *[1.0] * 60)
-    assert chooser.is_blind
+    planner = CascadePlanner()
+    teach(planner, "k", "small", *[1.0] * 60)
+    assert planner.lacks_ratings
 
 
 @pytest.mark.parametrize("rating", [math.nan, -0.1, 1.5])
 def test_impossible_rating_counts_as_none(rating):
-    chooser = CascadePlanner()
-    verdict = chooser.judge(rating=rating, target=TARGET, rung=RUNGS[0], last=False)
+    planner = CascadePlanner()
+    verdict = planner.judge(rating=rating, target=TARGET, rung=RUNGS[0], last=False)
     assert verdict == Escalate(reason=EscalateReason.NO_RATING)
-    teach(chooser, "k", "small", rating)
-    assert chooser.estimate(kind="k", rung=RUNGS[0], target=TARGET) < 0.5
+    teach(planner, "k", "small", rating)
+    assert planner.estimate(kind="k", rung=RUNGS[0], target=TARGET) < 0.5
 
 
 def test_policy_decides_between_time_and_money():
-    """A middling first rung: waiting users skip it, thrifty ones climb.
+    """The first rung is good in half of its answers.
 
-    A rung that is good in 87 of 100 streams directly only where time counts
-    more than a bad answer.
+    A policy that favours latency skips it; one that favours cost begins with it and
+    escalates.  A rung that is good in 87 of 100 answers streams directly only if
+    latency counts more than a bad answer.
     """
     thrifty, hasty = Policy(cost=3, exposure=3), Policy(latency=3)
-    chooser = CascadePlanner()
-    teach(chooser, "half", "small", *[0.9, 0.5] * 50)
-    teach(chooser, "good", "small", *[0.9, 0.5] * 13, *[0.9] * 37, *[0.95] * 37)
+    planner = CascadePlanner()
+    teach(planner, "half", "small", *[0.9, 0.5] * 50)
+    teach(planner, "good", "small", *[0.9, 0.5] * 13, *[0.9] * 37, *[0.95] * 37)
 
     def begin(kind, policy):
-        return chooser.plan(
+        return planner.plan(
             kind=kind,
             target=TARGET,
             preference=Preference.LATENCY,
--- a/test/decisions/test_coldstart.py
+++ b/test/decisions/test_coldstart.py
@@ -3,7 +3,7 @@
 import hypothesis.strategies as st
 from hypothesis import given, settings
 
-from eelgrassrack.decisions.coldstart import SHORTEST_WARM_UP, CollapseReason, Window
+from eelgrassrack.decisions.coldstart import MIN_WARM_UP_SECONDS, CollapseReason, Window
 
 
 def warm_up(window, *, now):
@@ -14,7 +14,7 @@
 def test_grows_with_work_and_falls_at_once():
     """A warm engine restarts without warning while its queue is full.
 
-    Given all of it at once it would fall over again.
+    If it got the whole queue at once it would crash again.
     """
     window = Window(floor=2, ceiling=16, now=0.0)
     assert window.count_free(running=0) == 2
@@ -32,9 +32,9 @@
 def test_burst_of_short_answers_does_not_open_it():
     """An engine answers a hundred cheap lookups before it has warmed up."""
     window = Window(floor=2, ceiling=16, now=0.0)
-    warm_up(window, now=SHORTEST_WARM_UP / 10)
+    warm_up(window, now=MIN_WARM_UP_SECONDS / 10)
     assert window.size <= 3
-    warm_up(window, now=SHORTEST_WARM_UP)
+    warm_up(window, now=MIN_WARM_UP_SECONDS)
     assert window.size == 16
 
 
@@ -47,10 +47,10 @@
 
 
 def test_does_not_grow_while_the_endpoint_says_it_is_cold():
-    """A cold engine bears one request and answers a few, one by one.
+    """A cold engine can handle one request, and answers a few of them one by one.
 
-    It still says that it is cold. Given two at once it would crash, and both
-    callers would lose their answers.
+    It still reports a cold start.  If it got two requests at once it would crash, and
+    both callers would lose their answers.
     """
     window = Window(floor=1, ceiling=16, now=0.0)
     window.is_growth_paused = True
