--- a/eelgrassrack/decisions/engines.py
+++ b/eelgrassrack/decisions/engines.py
@@ -1,20 +1,20 @@
-"""Which engine or service endpoint a request goes to, at an entry alone.
-
-Load pattern: requests share long prompt parts, a few of them very hot; prompts
-differ by a factor of fifty, and an engine reads them one after the other.
-Without affinity each engine reads each shared part again; with affinity alone
-the engine of a hot part has a queue while others are idle.
-
-Each endpoint is weighed by the seconds until the first token: what it still
-has to read, and what it would read of this prompt.  A shared part that it
-holds already counts for it.  All entries of a failure domain rank its endpoints
-by the same hash for a shared part, so that without asking each other they take
-the same one to hold it.
-
-Bytes between failure domains are paid for, and an answer that comes well within
-its objective is worth no more for coming sooner.  A request therefore waits for
-a near endpoint as long as that takes a small part of its slack; once all have a
-queue, there is no slack left, and it goes wherever it is answered first.
+"""The choice of an engine or service endpoint for a request, with prefix affinity.
+
+Requests share long prompt prefixes, a few of them very hot.  Prompts differ in length
+by a factor of fifty, and an engine reads them one after the other.  Without affinity
+each engine would read each shared prefix again; with affinity alone the engine of a hot
+prefix would have a queue while others are idle.
+
+Endpoints are compared by the estimated seconds until the first token: the backlog, plus
+what the endpoint has to read of this prompt.  A shared prefix that it has cached
+shortens that.  Each entry decides on its own; all entries of a failure domain rank its
+endpoints by the same hash of the prefix, so that they agree on the one that caches it.
+
+Bytes between failure domains cost money, and an answer that comes well within its
+objective is worth no more for coming sooner.  A request therefore prefers an endpoint
+of its own failure domain as long as that costs a small share of its slack.  Once all
+endpoints have a queue no slack is left, and the request goes where it is answered
+first.
 """
 
 from collections.abc import Sequence
@@ -22,33 +22,36 @@
 import msgspec
 import xxhash
 
-# The part of its slack that a request waits longer for a near endpoint.  Other
-# requests wait as well, and the estimate may be wrong.
+# Share of its slack that a request may spend on waiting for an endpoint of its own
+# failure domain.  It is small because other requests wait as well and the estimate may
+# be wrong.
 NEAR_SHARE = 0.02
 
-# Requests that come later are read before a long prompt, so it may take so many
-# times what is expected of a near endpoint that gets all of its domain's.
-STRETCH = 3.0
+# A long prompt may take this many times the estimate, because shorter prompts that
+# arrive later are read first, and a near endpoint gets all of its domain's.
+STRETCH_FACTOR = 3.0
 
-# Without slack an endpoint of another failure domain still takes so much longer.
-FAR_SECONDS = 0.002
+# Minimum penalty of an endpoint in another failure domain, which takes this much longer
+# even if there is no slack.
+MIN_FAR_SECONDS = 0.002
 
-# A request that runs beside makes each token a little slower.
-BESIDE_SECONDS = 0.004
+# Time that other requests on all slots of an engine add by slowing down each token.
+CONCURRENCY_SECONDS = 0.004
 
-# Work of a plain request, which has no prompt: of the order of its run time,
-# so that endpoints of a plain service are weighed by requests under way.
+# Assumed work of a plain request, which has no prompt: of the order of its run time, so
+# that endpoints of a plain service are compared by their requests in flight.
 PLAIN_REQUEST_SECONDS = 0.05
 
 
 class EngineCandidate(msgspec.Struct, kw_only=True, frozen=True):
     """An endpoint that may get the request.
 
-    `wait` is the seconds before it would read the request, `burden` the seconds
-    that it is compared by (`ReadingBacklog`), `running` the requests of all entries
-    there, `slots` how many it runs at once.
-    `slowness` is how many times as long as others it takes for the same work.
-    `holds_parts` says that it most likely has the shared parts cached.
+    `wait` is the seconds until it would read the request's prompt, and `burden` the
+    seconds of backlog by which endpoints are compared (see `backlog.Split`).  `running`
+    is the number of requests that all entries have there, `slots` how many it runs at
+    once.  `slowness` is its time for the same work relative to other endpoints.
+    `holds_parts` says that it probably has the shared prefix cached, `is_near` that it
+    is in the entry's own failure domain, `is_shunned` that it failed lately.
     """
 
     name: str
@@ -63,14 +66,14 @@
 
 
 class ReadingTime(msgspec.Struct, kw_only=True, frozen=True):
-    """Seconds to read a prompt whole, and of that its shared parts."""
+    """Seconds to read (prefill) the whole prompt, and its shared prefix alone."""
 
     whole: float
     shared: float = 0.0
 
 
 class EngineChoice(msgspec.Struct, frozen=True):
-    """An endpoint and the seconds until the first token there."""
+    """The chosen endpoint, the seconds until its first token, and its queueing time."""
 
     name: str
     seconds: float
@@ -87,49 +90,65 @@
 ) -> EngineChoice:
     """Return the endpoint for a request.
 
-    Requests of the same `affinity` go together; `spread` breaks ties, so that
-    entries don't all choose the same of equal endpoints.  `remaining` is the seconds
-    that the first token may take within the request's objective.
+    `affinity` identifies the shared prefix, and is empty if there is none.  `spread`,
+    the entry's name, breaks ties so that entries don't all choose the same of several
+    equal endpoints.  `remaining` is the seconds until the first token is due by the
+    request's objective.
     """
-    sound = [one for one in candidates if not one.is_shunned] or candidates
-    home = _find_home(sound, affinity)
-    weights = {one.name: _weigh(one, reading, is_home=one is home) for one in sound}
-    slack = remaining - min(weights.values()) * STRETCH
-    far = max(slack * NEAR_SHARE, FAR_SECONDS)
+    usable = [
+        candidate for candidate in candidates if not candidate.is_shunned
+    ] or candidates
+    home = _find_home(usable, affinity)
+    work = {
+        candidate.name: _estimate_work(candidate, reading, is_home=candidate is home)
+        for candidate in usable
+    }
+    slack = remaining - min(work.values()) * STRETCH_FACTOR
+    far = max(slack * NEAR_SHARE, MIN_FAR_SECONDS)
     best = min(
-        sound,
-        key=lambda one: (
-            weights[one.name] + (0.0 if one.is_near else far),
-            _rank(spread, one.name),
+        usable,
+        key=lambda candidate: (
+            work[candidate.name] + (0.0 if candidate.is_near else far),
+            _rank(spread, candidate.name),
         ),
     )
     own = reading.whole - (reading.shared if best.holds_parts else 0.0)
-    wait = (best.wait + _find_queue(best)) * best.slowness
+    wait = (best.wait + _estimate_slot_wait(best)) * best.slowness
     return EngineChoice(best.name, wait + own * best.slowness, wait)
 
 
 def _find_home(
-    sound: Sequence[EngineCandidate], affinity: str
+    usable: Sequence[EngineCandidate], affinity: str
 ) -> EngineCandidate | None:
-    """Return the endpoint that is to hold a shared part, a near one if any is."""
+    """Return the endpoint that is to cache a shared prefix, preferably a near one."""
     if not affinity:
         return None
-    near = [one for one in sound if one.is_near]
-    return max(near or sound, key=lambda one: _rank(affinity, one.name))
-
-
-def _weigh(one: EngineCandidate, reading: ReadingTime, *, is_home: bool) -> float:
-    saved = reading.shared if one.holds_parts or is_home else 0.0
-    beside = BESIDE_SECONDS * one.running / one.slots
-    work = one.burden + _find_queue(one) + beside + reading.whole - saved
-    return work * one.slowness
+    near = [candidate for candidate in usable if candidate.is_near]
+    return max(near or usable, key=lambda candidate: _rank(affinity, candidate.name))
+
+
+def _estimate_work(
+    candidate: EngineCandidate, reading: ReadingTime, *, is_home: bool
+) -> float:
+    """Return the seconds of work by which endpoints are compared."""
+    saved = reading.shared if candidate.holds_parts or is_home else 0.0
+    concurrency = CONCURRENCY_SECONDS * candidate.running / candidate.slots
+    work = (
+        candidate.burden
+        + _estimate_slot_wait(candidate)
+        + concurrency
+        + reading.whole
+        - saved
+    )
+    return work * candidate.slowness
 
 
-def _find_queue(one: EngineCandidate) -> float:
-    """Return the seconds to wait for a slot, roughly, if all are taken."""
-    waiting = one.running + 1 - one.slots
+def _estimate_slot_wait(candidate: EngineCandidate) -> float:
+    """Return a rough estimate of the seconds to wait for a slot if all are taken."""
+    waiting = candidate.running + 1 - candidate.slots
     return waiting * PLAIN_REQUEST_SECONDS if waiting > 0 else 0.0
 
 
 def _rank(key: str, name: str) -> int:
+    """Return the rendezvous hash of an endpoint for a key."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode())
--- a/eelgrassrack/decisions/fairshare.py
+++ b/eelgrassrack/decisions/fairshare.py
@@ -1,58 +1,57 @@
-"""Whose prompts give way to those of others while engines have a queue.
+"""Fair use of engines: deprioritises organisations that send far more than most.
 
-Load pattern: one organisation sends many times what it usually does, and
-engines have seconds to read.  Read by the operators' ranks and by size alone,
-its prompts stand among all others', and every organisation's callers wait for a
-burst of one.
+When one organisation sends a burst, engines have seconds of prompts to read.  Ordered
+by the operators' ranks and by size alone, its prompts would mix with all others, and
+every organisation's callers would wait for the burst of one.
 
-What each organisation had engines read within the last seconds is added up
-over all entries.  One that takes several times the mean gives way: its prompts
-rank with the longest of their rank.  With no queue at the engines this changes
-nothing, and nobody is refused by it.
+The prompts that engines read for each organisation in the last seconds are summed over
+all entries.  An organisation that takes several times the mean is deprioritised: its
+prompts rank with the longest ones of the same operators' rank.  That changes nothing
+while engines have no queue, and no request is refused.
 """
 
 from collections.abc import Iterable
 
 import msgspec
 
-# Seconds after which what was read counts half: bursts last some seconds, and
-# an organisation that sends less again is soon equal.
-HALF_LIFE = 2.0
+# Half-life of past usage: bursts last some seconds, and an organisation that sends less
+# again should soon be treated like the others.
+HALF_LIFE_SECONDS = 2.0
 
-# An organisation gives way from so many times the mean of the active ones on:
-# the largest of two dozen usually takes two to four times it.
-MOST_SHARE = 4.0
+# Multiple of the active organisations' mean above which one is deprioritised.  The
+# largest of two dozen organisations usually takes two to four times the mean.
+MAX_MEAN_FACTOR = 4.0
 
-# With fewer active organisations the mean says little.
-LEAST_ACTIVE = 3
+# Minimum number of active organisations for a meaningful mean.
+MIN_ACTIVE = 3
 
-# Seconds of reading below which an organisation counts as not active.
-LEAST_SECONDS = 0.001
+# An organisation with fewer seconds of prompts counts as inactive.
+MIN_ACTIVE_SECONDS = 0.001
 
-# Entries tell each other of so many organisations; one that takes four times
-# the mean is among the heaviest at nearly all of them.
-MOST_TOLD = 4
+# Number of organisations in a report to other entries.  One that takes four times the
+# mean is among the heaviest at nearly every entry.
+MAX_REPORTED = 4
 
-# News hold whole milliseconds, which are shorter than fractions.
+# Reports hold whole milliseconds, which are encoded shorter than fractions.
 MILLISECONDS = 1000.0
 
 
 class Heavy(msgspec.Struct, frozen=True, array_like=True):
-    """An organisation's reading at one entry, in milliseconds."""
+    """Milliseconds of prompts that one entry had engines read for an organisation."""
 
     organisation: str
     milliseconds: int
 
 
 class Told(msgspec.Struct, frozen=True, array_like=True):
-    """What one entry had read for all, and for the heaviest, in milliseconds."""
+    """One entry's usage in milliseconds: of all organisations, and of the heaviest."""
 
     milliseconds: int = 0
     heaviest: tuple[Heavy, ...] = ()
 
 
 class Usage:
-    """Seconds of reading by organisation at one entry, older ones for less."""
+    """Seconds of prompts read per organisation at one entry, with exponential decay."""
 
     __slots__ = ("_faded_at", "_seconds")
 
@@ -65,18 +64,20 @@
         self._seconds[organisation] = self._seconds.get(organisation, 0.0) + seconds
 
     def fade(self, now: float) -> None:
-        """Let what was read before count for less, and forget what is little."""
-        part = 0.5 ** ((now - self._faded_at) / HALF_LIFE)
+        """Decay the usage so far, and drop organisations that have become inactive."""
+        factor = 0.5 ** ((now - self._faded_at) / HALF_LIFE_SECONDS)
         self._faded_at = now
         self._seconds = {
-            name: seconds * part
+            name: seconds * factor
             for name, seconds in self._seconds.items()
-            if seconds * part >= LEAST_SECONDS
+            if seconds * factor >= MIN_ACTIVE_SECONDS
         }
 
     def report(self) -> Told:
-        """Return what peers are told."""
-        heaviest = sorted(self._seconds.items(), key=lambda one: -one[1])[:MOST_TOLD]
+        """Return the usage to report to peers."""
+        heaviest = sorted(self._seconds.items(), key=lambda item: -item[1])[
+            :MAX_REPORTED
+        ]
         return Told(
             int(sum(self._seconds.values()) * MILLISECONDS),
             tuple(
@@ -84,17 +85,21 @@
             ),
         )
 
-    def find_heavy(self, told: Iterable[Told]) -> frozenset[str]:
-        """Return the organisations that give way, by what peers tell as well."""
+    def find_heavy(self, reports: Iterable[Told]) -> frozenset[str]:
+        """Return the organisations to deprioritise, given the reports of peers."""
         active = len(self._seconds)
-        if active < LEAST_ACTIVE:
+        if active < MIN_ACTIVE:
             return frozenset()
-        whole = sum(self._seconds.values())
-        sums = dict(self._seconds)
-        for one in told:
-            whole += one.milliseconds / MILLISECONDS
-            for heavy in one.heaviest:
-                known = sums.get(heavy.organisation, 0.0)
-                sums[heavy.organisation] = known + heavy.milliseconds / MILLISECONDS
-        most = MOST_SHARE * whole / active
-        return frozenset(name for name, seconds in sums.items() if seconds > most)
+        total = sum(self._seconds.values())
+        by_organisation = dict(self._seconds)
+        for report in reports:
+            total += report.milliseconds / MILLISECONDS
+            for heavy in report.heaviest:
+                own = by_organisation.get(heavy.organisation, 0.0)
+                by_organisation[heavy.organisation] = (
+                    own + heavy.milliseconds / MILLISECONDS
+                )
+        limit = MAX_MEAN_FACTOR * total / active
+        return frozenset(
+            name for name, seconds in by_organisation.items() if seconds > limit
+        )
--- a/eelgrassrack/decisions/modelchoice.py
+++ b/eelgrassrack/decisions/modelchoice.py
@@ -1,68 +1,67 @@
-"""Which of a route's models answers a request.
-
-Load pattern: requests of unlike difficulty, of which a cheap model answers
-about half as well as the best one does.  If all went to the best model its
-cost would be ten times as high and engines, which take ten times as long to
-read a prompt for it, would be full.  If all went to the cheapest, half of the
-answers would be worth nothing.
-
-The cheapest model begins.  With the head of its answer it tells its own rough
-opinion, before the caller has got anything.  A low opinion sends the request
-on: a little too low to the next model, far too low to the best one at once,
-since each further run costs time and the reading of the prompt.
-
-Long prompts are the dearest: the best model reads one for as much as dozens of
-short ones.  They begin with the best only if there is no time for both: asked
-at once without need, it would be paid for every one of them, and more than half
-are answered well by the cheapest.
-
-Under overload the better models give way first, but for short prompts: these
-take little of an engine's time, and an answer of the cheapest model that is
-known to be wrong is worth next to nothing.  A run of the best one takes
-an engine's time from ten others, so it is asked only where an engine has next
-to nothing else to read.  Asked as long as it answers in time, it would fill
-engines up to the most patient route's objective, and all others would be late.
-Nor is it asked where its answer, which takes three times as long, wouldn't be
-whole in the time that the caller has left, as after a fault that held callers up.
+"""The choice between a route's models, and escalation to a better one.
+
+A cheap model answers about half of the requests as well as the best one.  If all went
+to the best model, the cost would be ten times as high and the engines would be full,
+since reading a prompt takes ten times as long with it.  If all went to the cheapest,
+half of the answers would be worthless.
+
+The cheapest model begins.  The head of its answer states its confidence, before the
+caller has received anything.  If the confidence is slightly too low the request goes to
+the next model; if it is far too low it goes to the best one at once, since each further
+run costs time and another reading of the prompt.
+
+Long prompts are the most expensive: reading one with the best model costs as much as
+dozens of short ones.  They begin with the best model only if there is no time for both,
+because the cheapest answers more than half of them well.
+
+Under overload better models are used less, except for short prompts, which take little
+of an engine's time; an answer of the cheapest model with low confidence is almost
+worthless.  A run of the best model takes the engine time of ten others, so it is used
+only if an engine has almost nothing else to read.  Used whenever it answers in time, it
+would fill the engines up to the longest objective of any route, and all other requests
+would be late.  It isn't used either if its answer, which takes three times as long,
+wouldn't be complete in the caller's remaining time, as after a fault that delayed
+callers.
 """
 
 from collections.abc import Callable, Sequence
 
 import msgspec
 
-# An answer is taken from this opinion on.  Opinions lie around 50 where a
-# request is just as hard as the model bears, with a spread of about 10.
+# Minimum confidence of an accepted answer.  Confidence is around 50 if a request is
+# just as hard as the model can handle, with a spread of about 10.
 ACCEPTED_CONFIDENCE = 60
 
-# The opinion of the next model is higher by about this much on the same request.
+# How much higher the confidence of the next model usually is on the same request.
 STEP_CONFIDENCE = 15
 
-# A run that is dropped needs an attempt left for the next one, and one for a
-# broken connection; with fewer the best model begins.
-LEAST_ATTEMPTS = 2
+# An escalation needs one more attempt for the next model and one for a broken
+# connection; with fewer attempts the best model begins.
+MIN_ATTEMPTS = 2
 
-# What is expected within this part of the objective is taken to be in time.  The
-# rest is for waits that aren't known of yet.
+# An answer expected within this share of the objective counts as in time.  The rest is
+# for waits that aren't known yet.
 IN_TIME_SHARE = 0.85
 
-# An engine whose queue takes no more than this part of the objective has room
-# for a better model.
+# An engine has room for a better model if its queue takes at most this share of the
+# objective.
 IDLE_SHARE = 0.2
 
 
-# A prompt that takes no more than this part of the objective to read fills no
-# engine, so a better model reads it as long as its answer is in time.
+# A prompt that takes at most this share of the objective to read doesn't fill an
+# engine, so a better model reads it whenever the answer is in time.
 SHORT_SHARE = 0.1
 
-# A caller that gives up in the middle has nothing of its answer, so an answer
-# must be expected to be whole with this part of its time to spare.
+# A caller that gives up before the end has no use for a partial answer, so the caller's
+# remaining time must be at least this multiple of the expected one.
 SPARE_FACTOR = 1.3
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """Seconds until the first token of a model, and of that the queue's part.
+    """Expected times of a model's answer, in seconds.
 
-    `whole` is the seconds until the last token.
+    `seconds` is the time until the first token, `wait` the part of it spent in the
+    queue, `whole` the time until the last token.
     """
 
     seconds: float
@@ -82,12 +81,13 @@
     remaining: float,
     estimate: Estimator,
 ) -> str:
-    """Return the model to begin with; `models` come smallest first.
+    """Return the model to begin with; `models` are ordered from cheapest to best.
 
-    `remaining` is the seconds until the caller gives up.
+    `objective` is the seconds within which the first token is due, `remaining` the
+    seconds until the caller gives up.
     """
     best = models[-1]
-    if not is_repeatable or attempts < LEAST_ATTEMPTS:
+    if not is_repeatable or attempts < MIN_ATTEMPTS:
         return best
     expected = estimate(best)
     both = estimate(models[0]).seconds + expected.seconds
@@ -108,9 +108,10 @@
     remaining: float,
     estimate: Estimator,
 ) -> str | None:
-    """Return the model to ask instead, or None to take the answer.
+    """Return the model to ask instead, or None to accept the answer.
 
-    `remaining` is the seconds until the caller gives up.
+    `objective` is the seconds within which the first token is due, `remaining` the
+    seconds until the caller gives up.
     """
     if confidence is None or confidence >= ACCEPTED_CONFIDENCE:
         return None
@@ -119,12 +120,13 @@
     if missing > STEP_CONFIDENCE:
         better = better[-1:]
     return next(
-        (one for one in better if _has_room(estimate(one), objective, remaining)), None
+        (name for name in better if _has_room(estimate(name), objective, remaining)),
+        None,
     )
 
 
 def _has_room(expected: Estimate, objective: float, remaining: float) -> bool:
-    """Tell whether a model may be asked instead, for the sake of all requests."""
+    """Return whether a better model may be used without delaying other requests."""
     if expected.whole * SPARE_FACTOR > remaining:
         return False
     if expected.wait <= objective * IDLE_SHARE:
--- a/eelgrassrack/decisions/reserve.py
+++ b/eelgrassrack/decisions/reserve.py
@@ -1,15 +1,14 @@
-"""Slots that a full endpoint keeps for organisations with little there.
-
-Load pattern: large organisations fill all slots of all endpoints.  Fair
-turns bring a quiet organisation's request to the head of the queue at once,
-but without this module it still waits until some running job ends: half a
-second in the mean with 16 slots and answers of 200 tokens, and 1.5 s for
-one in twenty.
-
-The last slots of a window are given only to organisations that run next to
-nothing on this endpoint.  They lapse when no such organisation came for a
-while, so a lone organisation has the whole window.  A small window (a cold
-start) reserves nothing.
+"""Slots that a full endpoint reserves for organisations that run little there.
+
+If large organisations fill all slots of all endpoints, fair queueing moves a quiet
+organisation's request to the head of the queue, but the request still waits until a
+running job ends: half a second on average with 16 slots and answers of 200 tokens, and
+1.5 s for one in twenty.
+
+The last slots of a window are therefore given only to organisations that run almost
+nothing on this endpoint.  The reservation lapses if no such organisation came for a
+while, so a single organisation can use the whole window.  A small window (a cold start)
+reserves nothing.
 """
 
 import collections
@@ -17,23 +16,23 @@
 
 from .waiting import QueuedRequest
 
-# One slot in sixteen is kept: it costs at most a sixteenth of the goodput.
-# One in eight brought a quiet organisation's wait down by a further 0.09 s at
-# twice that cost.
+# One slot in sixteen is reserved, which costs at most a sixteenth of the goodput.  One
+# in eight would shorten a quiet organisation's wait by a further 0.09 s at twice that
+# cost.
 SLOTS_PER_RESERVED = 16
 
-# An organisation with fewer than so many running here may take them.  With
-# one the second of two requests in a row waits as before; with four large
-# organisations take the slots as well.  docs/LOAD.md has the figures.
+# An organisation with fewer running requests may use the reserved slots.  With one, the
+# second of two requests in a row would wait as before; with four, large organisations
+# would use the slots as well.  docs/LOAD.md has the figures.
 FEW_RUNNING = 2
 
-# The slots lapse so long after the last request of such an organisation, as
-# long as the default deadline of a request.
+# The reservation lapses after this time without a request of such an organisation.  It
+# is the default deadline of a request.
 LAPSE_SECONDS = 60.0
 
 
 class SlotReserve:
-    """Judge who may take the last free slots of an endpoint."""
+    """Decide which organisations may use the last free slots of an endpoint."""
 
     __slots__ = ("_running", "_used_at")
 
@@ -56,18 +55,19 @@
     def judge(
         self, *, free: int, window: int, now: float
     ) -> Callable[[QueuedRequest], bool] | None:
-        """Return who may start with so many slots free; None if everyone.
+        """Return a filter of the requests that may start, or None if all may.
 
-        Pass the answer to `FairQueue.pop` as `may_start`.
+        `free` of the `window` slots are free.  Pass the result to `FairQueue.pop` as
+        `may_start`.
         """
         if free > window // SLOTS_PER_RESERVED:
             return None
         if now - self._used_at > LAPSE_SECONDS:
             return None
-        return self._may_start
+        return self._runs_few
 
-    def _may_start(self, waiting: QueuedRequest) -> bool:
-        return self._has_few(waiting.organisation)
+    def _runs_few(self, request: QueuedRequest) -> bool:
+        return self._has_few(request.organisation)
 
     def _has_few(self, organisation: str) -> bool:
         return self._running[organisation] < FEW_RUNNING
--- a/eelgrassrack/decisions/waiting.py
+++ b/eelgrassrack/decisions/waiting.py
@@ -1,49 +1,49 @@
-"""One request that waits: its cost, and its place in its organisation.
+"""A queued request: its cost, and its rank among its organisation's requests.
 
-The order of an organisation's own requests is by arrival plus expected run
-time, at most a part of what the deadline leaves, less what priority gains.
+The rank is the arrival time plus the expected run time, limited to a share of the time
+to spare before the deadline, minus a bonus for priority.
 """
 
 import msgspec
 
-# An engine emits a token for a stream each 33 ms at the target size, so a
-# request runs for about this long for each token it asks for.
+# An engine emits one token per stream every 33 ms at the target size, so a request runs
+# for about this time per token.
 SECONDS_PER_TOKEN = 0.033
 
-# A long job yields no longer than the default deadline of a request.
-LONGEST_YIELD = 60.0
+# Upper bound on the time that a long job yields to others: the default deadline of a
+# request.
+MAX_YIELD_SECONDS = 60.0
 
-# A job yields no more than this part of the time that it can spare before its
-# deadline.  Admission lets it in by the wait of a first-come queue; yielding
-# more makes long jobs of a full queue late, which are the ones that waste
-# most of the endpoint.
+# A job yields at most this share of its spare time before the deadline.  Admission
+# accepts it by the wait of a first-come queue.  If it yielded more, long jobs in a full
+# queue would be late, and those waste most of the endpoint's time.
 SPARE_SHARE = 0.25
 
-# The expected length of an answer is a guess, so no more than this part of a
-# request's time is set aside for its run, as at admission.
-LONGEST_RUN_SHARE = 0.5
+# The expected length of an answer is a guess, so at most this share of a request's time
+# is reserved for running it, as in admission.
+MAX_RUN_SHARE = 0.5
 
-# A request is patient if it runs longer than this, twice a mean answer of 210
-# tokens, and can spare more than a long job yields.
+# A request is patient if it runs longer than this, twice a mean answer of 210 tokens,
+# and can spare more time than a long job yields.
 LONG_SECONDS = 14.0
 
-# One level of priority overtakes 10 s of waiting in the same organisation:
-# a sixth of the default deadline, so five levels stay within one deadline.
+# One level of priority overtakes 10 s of waiting in the same organisation: a sixth of
+# the default deadline, so five levels stay within one deadline.
 SECONDS_PER_PRIORITY = 10.0
 
-# Levels beyond these count as these, which bounds what priority can do.
+# Priorities are clamped to these levels, which limits their effect.
 LOWEST_PRIORITY = 0
 HIGHEST_PRIORITY = 5
 
-# A weight of zero would give a tag of infinity: it counts as this.
-LEAST_WEIGHT = 0.01
+# Smaller weights count as this, since a weight of zero would give an infinite tag.
+MIN_WEIGHT = 0.01
 
 
 class QueuedRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """One request that waits.
+    """A request in the queue.
 
-    `tokens` is the expected cost, `deadline` and `arrived` are seconds on
-    the same clock as `now`.  A higher `priority` goes first.
+    `tokens` is the expected cost; `deadline` and `arrived` are seconds on the same
+    clock as `now`.  A higher `priority` is served first.
     """
 
     key: str
@@ -56,46 +56,49 @@
 
     @property
     def cost(self) -> float:
-        """Return the tokens it counts for, by the organisation's weight."""
-        return max(self.tokens, 1) / max(self.weight, LEAST_WEIGHT)
+        """Return the tokens divided by the organisation's weight."""
+        return max(self.tokens, 1) / max(self.weight, MIN_WEIGHT)
 
     @property
     def level(self) -> int:
-        """Return the priority within its bounds."""
+        """Return the priority, clamped to its bounds."""
         return min(max(self.priority, LOWEST_PRIORITY), HIGHEST_PRIORITY)
 
     @property
     def is_patient(self) -> bool:
-        """Tell whether it is a long job with time to spare."""
+        """Return whether it is a long job with time to spare."""
         return is_patient(tokens=self.tokens, within=self.deadline - self.arrived)
 
     @property
     def latest_start(self) -> float:
-        """Return from when on a start is expected to end after the deadline."""
-        longest = max(self.deadline - self.arrived, 0.0) * LONGEST_RUN_SHARE
+        """Return the time from which a start is expected to miss the deadline."""
+        longest = max(self.deadline - self.arrived, 0.0) * MAX_RUN_SHARE
         run_time = self.tokens * SECONDS_PER_TOKEN
         return self.deadline - min(run_time, longest)
 
     @property
     def rank(self) -> float:
-        """Return the place among the same organisation's, lowest first."""
+        """Return the rank among the organisation's requests; the lowest goes first."""
         run_time = self.tokens * SECONDS_PER_TOKEN
         spare = max(self.deadline - self.arrived - run_time, 0.0)
-        yielded = min(run_time, LONGEST_YIELD, spare * SPARE_SHARE)
+        yielded = min(run_time, MAX_YIELD_SECONDS, spare * SPARE_SHARE)
         return self.arrived + yielded - self.level * SECONDS_PER_PRIORITY
 
 
 def is_patient(*, tokens: int, within: float) -> bool:
-    """Tell a long job with time to spare from all others."""
+    """Return whether a request is a long job with time to spare.
+
+    `within` is the seconds until its deadline.
+    """
     run_time = tokens * SECONDS_PER_TOKEN
-    return run_time > LONG_SECONDS and within - run_time > LONGEST_YIELD
+    return run_time > LONG_SECONDS and within - run_time > MAX_YIELD_SECONDS
 
 
 def count_ahead(*, own: int, alike: int) -> int:
-    """Return how many of its organisation's tokens an arrival waits for.
+    """Return how many of its organisation's tokens a new request waits for.
 
-    `own` tokens of the organisation wait, `alike` of them in requests that
-    are patient as this one is, or aren't as it isn't.  These have half of
-    the organisation's turns while others wait too.
+    `own` tokens of the organisation are queued, `alike` of them in the lane of the new
+    request (patient or not).  Each lane gets half of the organisation's service while
+    both have requests.
     """
     return min(2 * alike, own)
--- a/test/decisions/deployments.py
+++ b/test/decisions/deployments.py
@@ -1,8 +1,8 @@
-"""Deployments drawn at random, and requests played against them in virtual time.
+"""Random deployments, and a simulation of requests against them in virtual time.
 
-An engine reads prompts one after the other and generates beside that, so a
-request's first token comes when its prompt has been read.  Everything is known to
-the one entry that chooses; what is compared is the choice alone.
+An engine reads prompts one after the other and generates tokens concurrently, so the
+first token of a request comes when its prompt has been read.  A single entry chooses
+with full knowledge of all engines, so only the choices are compared.
 """
 
 import itertools
@@ -17,15 +17,15 @@
 TIME_LEFT = 15.0
 LATE_PART = 0.3
 
-# What a wrong answer is worth beside a right one.
+# Worth of a wrong answer relative to a right one.
 POOR_PART = 0.05
 
-# Requests carry so many bytes for each token of their prompt.
+# Bytes of a request per token of its prompt.
 TOKEN_BYTES = 1.0
 
 
 class Engine(msgspec.Struct):
-    """An engine; `speed` is how many times as long as usual it takes."""
+    """An engine; `speed` is its run time relative to the usual one."""
 
     name: str
     domain: int
@@ -35,7 +35,7 @@
 
 
 class Model(msgspec.Struct, frozen=True):
-    """A model: seconds a token read, the hardest it answers well, and its cost."""
+    """A model: seconds per token read, the hardest request it can answer, and cost."""
 
     name: str
     pace: float
@@ -44,7 +44,7 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A request; `worth` is that of a right answer in time."""
+    """A request; `worth` is the value of a right answer in time."""
 
     at: float
     domain: int
@@ -56,7 +56,7 @@
 
 
 class Deployment(msgspec.Struct):
-    """Engines, models, what crossing domains costs a byte, and requests."""
+    """Engines, models, the cost of a byte between domains, and requests."""
 
     engines: list[Engine]
     models: tuple[Model, ...]
@@ -65,59 +65,60 @@
 
 
 class Total(msgspec.Struct):
-    """What requests were worth, and what they cost."""
+    """The total worth of answers and the total cost."""
 
     worth: float = 0.0
     cost: float = 0.0
 
 
 def draw(seed):
-    """Return a deployment; its load is between a fifth and nine tenths."""
-    luck = random.Random(seed)
-    domains = luck.randint(2, 4)
+    """Return a random deployment with a load between a fifth and nine tenths."""
+    rng = random.Random(seed)
+    domains = rng.randint(2, 4)
     engines = [
-        Engine(f"e{number}", number % domains, luck.choice((1.0, 1.0, 1.3)))
-        for number in range(luck.randint(domains, 12))
+        Engine(f"e{number}", number % domains, rng.choice((1.0, 1.0, 1.3)))
+        for number in range(rng.randint(domains, 12))
     ]
-    base = luck.uniform(2e-6, 8e-6)
+    base = rng.uniform(2e-6, 8e-6)
     models = tuple(
         Model(name, base * pace, quality, cost)
         for name, pace, quality, cost in (
-            ("small", 1.0, luck.uniform(0.45, 0.65), luck.uniform(0.01, 0.02)),
-            ("middle", 2.7, luck.uniform(0.66, 0.8), luck.uniform(0.08, 0.14)),
-            ("large", luck.uniform(7, 12), 1.0, luck.uniform(0.2, 0.3)),
+            ("small", 1.0, rng.uniform(0.45, 0.65), rng.uniform(0.01, 0.02)),
+            ("middle", 2.7, rng.uniform(0.66, 0.8), rng.uniform(0.08, 0.14)),
+            ("large", rng.uniform(7, 12), 1.0, rng.uniform(0.2, 0.3)),
         )
     )
-    load = luck.uniform(0.2, 0.9)
+    load = rng.uniform(0.2, 0.9)
     mean_seconds = 4_000 * (models[0].pace + 0.4 * models[2].pace)
     rate = load * len(engines) / mean_seconds
-    times = itertools.accumulate(luck.expovariate(rate) for _ in range(REQUESTS))
-    requests = [_draw_request(luck, at, domains, models) for at in times]
-    return Deployment(engines, models, luck.uniform(1e-6, 1e-5), requests)
+    times = itertools.accumulate(rng.expovariate(rate) for _ in range(REQUESTS))
+    requests = [_draw_request(rng, at, domains, models) for at in times]
+    return Deployment(engines, models, rng.uniform(1e-6, 1e-5), requests)
 
 
-def _draw_request(luck, at, domains, models):
-    tokens = int(min(luck.lognormvariate(7.6, 1.1), 40_000)) + 50
-    difficulty = luck.random()
+def _draw_request(rng, at, domains, models):
+    tokens = int(min(rng.lognormvariate(7.6, 1.1), 40_000)) + 50
+    difficulty = rng.random()
     opinions = tuple(
-        round(min(max(50 + 150 * (m.quality - difficulty) + luck.gauss(0, 10), 0), 100))
+        round(min(max(50 + 150 * (m.quality - difficulty) + rng.gauss(0, 10), 0), 100))
         for m in models
     )
     return Request(
         at=at,
-        domain=luck.randrange(domains),
+        domain=rng.randrange(domains),
         tokens=tokens,
         difficulty=difficulty,
-        objective=luck.choice((1.0, 1.5, 2.0)),
+        objective=rng.choice((1.0, 1.5, 2.0)),
         worth=0.3 + tokens / 3_000,
         opinions=opinions,
     )
 
 
 def play(deployment, *, choose_model, choose_place):
-    """Return what all requests were worth and cost under a policy.
+    """Return the total worth and cost of all requests under a policy.
 
-    `choose_model` returns the models to run in turn, each by what is known then.
+    `choose_model` is called after each run for the next model, and returns None once
+    the answer is accepted.
     """
     total = Total()
     for engine in deployment.engines:
@@ -149,7 +150,7 @@
 
 
 def choose_ours(deployment, request, model, now):
-    """Return the first or the next model as the product does."""
+    """Return the first or the next model by the decisions under test."""
     names = tuple(one.name for one in deployment.models)
     by_name = {one.name: one for one in deployment.models}
 
@@ -194,7 +195,7 @@
 
 
 def place_ours(deployment, request, model, now):
-    """Return the engine as the product does."""
+    """Return the engine by the decisions under test."""
     candidates = [
         EngineCandidate(
             name=one.name,
--- a/test/decisions/test_deployments.py
+++ b/test/decisions/test_deployments.py
@@ -1,4 +1,4 @@
-"""The decisions hold on deployments that nobody has seen, against simple rules."""
+"""Compares the decisions with simple rules on random deployments."""
 
 import functools
 
@@ -16,8 +16,8 @@
 
 SEEDS = range(12)
 
-# The part of all that requests are worth by which a simple rule may do better:
-# one request in two hundred.
+# A simple rule may do better by this share of the total worth: one request in two
+# hundred.
 NOISE = 0.005
 
 
@@ -27,11 +27,11 @@
 
 
 def find_gain(seed, choose_model, choose_place):
-    """Return worth less cost, as a part of what all requests are worth."""
+    """Return worth minus cost, as a share of the total worth of all requests."""
     deployment = get(seed)
     total = play(deployment, choose_model=choose_model, choose_place=choose_place)
-    owed = sum(request.worth for request in deployment.requests)
-    return (total.worth - total.cost) / owed
+    total_worth = sum(request.worth for request in deployment.requests)
+    return (total.worth - total.cost) / total_worth
 
 
 @functools.cache
@@ -44,7 +44,7 @@
 def test_no_simple_rule_does_better(seed, name):
     """Engines, speeds, models, costs, sizes and load are drawn at random.
 
-    A rule of one line that did better would show that ours fits one deployment.
+    If a one-line rule did better, the decisions would be tuned to one deployment.
     """
     assert find_ours(seed) >= find_gain(seed, *BASELINES[name]) - NOISE
 
@@ -52,6 +52,6 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("choose_place", [place_on_least_busy, place_in_turn])
 def test_no_simple_placement_does_better_with_the_same_models(seed, choose_place):
-    """All that differs is where requests go."""
+    """Only the choice of the engine differs."""
     gain = find_gain(seed, choose_ours, choose_place)
     assert find_ours(seed) >= gain - NOISE
--- a/test/decisions/test_engines.py
+++ b/test/decisions/test_engines.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of engines."""
+"""Tests of the choice of an engine."""
 
 import collections
 import random
@@ -47,7 +47,7 @@
 
 
 def test_a_hot_part_spreads_once_its_engine_has_a_queue():
-    """A fifth of all requests share one part; its engine alone would fill up."""
+    """A fifth of all requests share one prefix; its engine alone would fill up."""
     candidates = {one.name: one for one in make(9)}
     counts = collections.Counter()
     for _ in range(90):
@@ -67,7 +67,7 @@
 
 
 def test_a_short_request_isnt_put_behind_a_long_prompt():
-    """An engine reads a prompt for two seconds; requests beside it would wait."""
+    """An engine reads a prompt for two seconds; other requests there would wait."""
     busy = make(1, backlog=2.0, holds_parts=True)[0]
     others = [one for one in make(9) if one.name != busy.name]
     for number in range(50):
@@ -98,7 +98,7 @@
 def test_a_slow_endpoint_gets_less():
     """One of three takes ten times as long; its requests pile up."""
     running = collections.Counter()
-    dice = random.Random(1)
+    rng = random.Random(1)
     counts = collections.Counter()
     for _ in range(600):
         candidates = [
@@ -115,12 +115,12 @@
         counts[name] += 1
         running[name] += 1
         for one in ("e0", "e1", "slow"):
-            if running[one] and dice.random() < (0.04 if one == "slow" else 0.4):
+            if running[one] and rng.random() < (0.04 if one == "slow" else 0.4):
                 running[one] -= 1
     assert counts["slow"] < 0.25 * counts["e0"]
 
 
-def test_a_shunned_endpoint_is_the_last_resort():
+def test_an_avoided_endpoint_is_the_last_resort():
     bad = make_one(
         name="bad", backlog=0.0, running=0, slots=48, is_near=True, is_shunned=True
     )
@@ -133,9 +133,9 @@
 
 
 def test_a_request_with_slack_stays_in_its_domain():
-    """Engines of all domains are nearly idle, and bytes between them are dear.
+    """Engines of all domains are nearly idle, and bytes between domains cost money.
 
-    The near one would answer a few milliseconds later, far within the objective.
+    The near engine would answer a few milliseconds later, well within the objective.
     """
     near = make_one(name="near", backlog=0.01)
     idle = [make_far(f"far{number}") for number in range(4)]
@@ -144,15 +144,15 @@
 
 
 def test_a_queue_in_a_domain_overflows_to_others():
-    """A third of the callers come to the domain with a fifth of the engines."""
+    """A third of the callers reach the domain that has a fifth of the engines."""
     near = make_one(name="near", backlog=0.5)
     assert choose([near, make_far("far")], remaining=1.0).name == "far"
 
 
 def test_a_long_prompt_goes_where_it_is_read_first():
-    """Short ones that come later are read before it, and nearness has cost its slack.
+    """Shorter prompts that arrive later are read before a long one.
 
-    Its domain's only engine gets all of these; its caller would wait too long.
+    The only engine of its domain gets all of them, so the caller would wait too long.
     """
     near = make_one(name="near", backlog=0.02)
     chosen = choose([near, make_far("far")], remaining=2.0, reading=0.8, shared=0.0)
@@ -160,7 +160,7 @@
 
 
 def test_each_domain_has_its_own_holder_of_a_shared_part():
-    """One holder for all would draw two thirds of the prompts across domains."""
+    """With one holder for all, two thirds of the prompts would cross domains."""
     engines = [f"e{number}" for number in range(9)]
 
     def find_holder(domain):
--- a/test/decisions/test_fairqueue.py
+++ b/test/decisions/test_fairqueue.py
@@ -1,4 +1,4 @@
-"""Tests of the fair queue, by example and against a simple oracle."""
+"""Tests of the fair queue, by example and against a simple model."""
 
 import collections
 
@@ -14,7 +14,7 @@
 from eelgrassrack.decisions.waiting import HIGHEST_PRIORITY
 
 FAR = 1e9
-MOST_TOKENS = 4_000
+MAX_TOKENS = 4_000
 
 
 def wait(key, *, organisation="a", deadline=FAR, arrived=0.0, **rest):
@@ -24,7 +24,7 @@
 
 
 def drain(queue, *, now=0.0):
-    return [waiting.key for waiting in iter(lambda: queue.pop(now=now), None)]
+    return [request.key for request in iter(lambda: queue.pop(now=now), None)]
 
 
 def test_quiet_organisation_overtakes_a_burst():
@@ -41,7 +41,7 @@
 
 
 def test_idle_time_earns_no_credit():
-    """An organisation that slept gets its share from now on, not arrears."""
+    """An organisation that was idle gets its share from now on, and nothing more."""
     queue = FairQueue()
     queue.push(wait("early", organisation="sleeper", tokens=100))
     for number in range(300):
@@ -61,15 +61,15 @@
         queue.push(wait(f"b{number}", organisation="short", tokens=100, weight=1))
     tokens = collections.Counter()
     for _ in range(400):
-        waiting = queue.pop(now=0.0)
-        tokens[waiting.organisation] += waiting.tokens
+        request = queue.pop(now=0.0)
+        tokens[request.organisation] += request.tokens
     assert 2.7 <= tokens["long"] / tokens["short"] <= 3.3
 
 
 def test_long_job_yields_to_short_ones_but_not_for_ever():
-    """Short questions keep arriving beside one long review.
+    """Short questions keep arriving while one long review waits.
 
-    The review yields for as long as it would run itself, then has its turn.
+    The review yields for as long as it would run itself, and is then served.
     """
     queue = FairQueue()
     queue.push(wait("review", tokens=900))
@@ -81,9 +81,9 @@
 
 
 def test_short_request_passes_a_night_of_own_reviews():
-    """Analysts queue 50 reviews overnight; one of them asks a short question.
+    """Analysts queue 50 reviews overnight; one of the analysts asks a short question.
 
-    By arrival alone it would wait for all of the reviews, which have hours.
+    In order of arrival it would wait for all of the reviews, which have hours.
     """
     queue = FairQueue()
     for number in range(50):
@@ -91,7 +91,7 @@
     assert queue.pop(now=0.0).key == "review0"
     queue.push(wait("short", tokens=60, deadline=1_120.0, arrived=1_000.0))
     assert queue.pop(now=1_000.0).key == "short"
-    # Short ones that keep coming don't stop the reviews.
+    # A steady flow of short requests doesn't stop the reviews.
     served = []
     for number in range(40):
         queue.push(wait(f"s{number}", tokens=60, deadline=1_120.0, arrived=1_000.0))
@@ -100,7 +100,7 @@
 
 
 def test_long_job_with_little_time_yields_little():
-    """A long job that yields all its spare time ends late, and was for nothing."""
+    """A long job that yielded all its spare time would end late and be wasted."""
     queue = FairQueue()
     queue.push(wait("review", tokens=900, deadline=40.0))
     served = []
@@ -125,10 +125,10 @@
 
 
 def test_overload_starts_only_what_can_end_in_time():
-    """Twice as much arrives as can be served, for twenty deadlines.
+    """Twice as much arrives as can be served, for a period of twenty deadlines.
 
-    Starting what is about to be late would spend the endpoint on answers
-    that nobody receives; and a draft with a far deadline must get a turn.
+    If requests started that are about to be late, the endpoint would produce answers
+    that nobody receives.  A draft with a distant deadline must be served as well.
     """
     queue = FairQueue()
     queue.push(wait("draft", deadline=9_000.0))
@@ -147,11 +147,11 @@
     assert served.index("draft") < 8
     assert len(served) > 150
     assert len(given_up) > 100
-    # Each is told while its caller still waits, not when its time is up.
+    # Each one expires while its caller still waits, not at the deadline.
     assert all(at < one.deadline for one, at in given_up)
 
 
-def test_who_gives_way_is_of_the_largest_backlog():
+def test_displaced_request_is_of_the_largest_backlog():
     queue = FairQueue()
     queue.push(wait("quiet", organisation="quiet", tokens=500))
     for number in range(10):
@@ -164,17 +164,17 @@
     assert queue.tokens == 5_000
 
 
-def is_in_time(waiting, now):
-    """Tell whether a request still has its run time, at most half its time."""
-    run_time = min(waiting.tokens * 0.033, (waiting.deadline - waiting.arrived) / 2)
-    return waiting.deadline - run_time > now
+def is_in_time(request, now):
+    """Return whether the run time, at most half of the total, still fits."""
+    run_time = min(request.tokens * 0.033, (request.deadline - request.arrived) / 2)
+    return request.deadline - run_time > now
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Push, pop, discard and expire against a plain dict.
+    """Compare push, pop, discard and expire with a plain dict.
 
-    An organisation is starved if others are served more than their bounded
-    share of tokens while its request waits.
+    An organisation starves if another one is served more than a bounded number of
+    tokens while its request waits.
     """
 
     def __init__(self):
@@ -187,13 +187,13 @@
 
     @rule(
         organisation=st.sampled_from("abcd"),
-        tokens=st.integers(1, MOST_TOKENS),
+        tokens=st.integers(1, MAX_TOKENS),
         priority=st.integers(-1, 9),
         within=st.floats(0.5, 500.0),
     )
     def push(self, organisation, tokens, priority, within):
-        """Add a request, once."""
-        waiting = QueuedRequest(
+        """Add a request, and check that it can't be added twice."""
+        request = QueuedRequest(
             key=f"k{self.count}",
             organisation=organisation,
             tokens=tokens,
@@ -202,33 +202,33 @@
             arrived=self.now,
         )
         self.count += 1
-        assert self.queue.push(waiting)
-        assert not self.queue.push(waiting)
+        assert self.queue.push(request)
+        assert not self.queue.push(request)
         if not self.has_waiting(organisation):
             self.passed[organisation] = collections.Counter()
-        self.model[waiting.key] = waiting
+        self.model[request.key] = request
 
     def has_waiting(self, organisation):
-        """Tell whether an organisation has one in time."""
+        """Return whether an organisation has a request that can end in time."""
         return any(
-            waiting.organisation == organisation and is_in_time(waiting, self.now)
-            for waiting in self.model.values()
+            request.organisation == organisation and is_in_time(request, self.now)
+            for request in self.model.values()
         )
 
     @rule(times=st.integers(1, 5))
     def pop(self, times):
         """Serve some requests."""
         for _ in range(times):
-            waiting = self.queue.pop(now=self.now)
-            if waiting is None:
+            request = self.queue.pop(now=self.now)
+            if request is None:
                 assert not any(is_in_time(one, self.now) for one in self.model.values())
                 return
-            assert self.model.pop(waiting.key) is waiting
-            assert is_in_time(waiting, self.now)
-            self.check_fair(waiting)
+            assert self.model.pop(request.key) is request
+            assert is_in_time(request, self.now)
+            self.check_fair(request)
 
     def check_fair(self, served):
-        """Check how far others went ahead of those waiting."""
+        """Check how many tokens of others were served while organisations waited."""
         self.passed[served.organisation] = collections.Counter()
         for organisation, passed in self.passed.items():
             if organisation == served.organisation:
@@ -238,7 +238,7 @@
                 continue
             passed[served.organisation] += served.tokens
             forward = HIGHEST_PRIORITY * TOKENS_PER_PRIORITY
-            assert max(passed.values()) <= 3 * MOST_TOKENS + forward
+            assert max(passed.values()) <= 3 * MAX_TOKENS + forward
 
     @rule(seconds=st.floats(0.0, 60.0))
     def advance(self, seconds):
@@ -248,16 +248,16 @@
     @precondition(lambda self: self.model)
     @rule(data=st.data())
     def discard(self, data):
-        """Give up a request."""
+        """Cancel a request."""
         key = data.draw(st.sampled_from(sorted(self.model)))
         assert self.queue.discard(key=key) is self.model.pop(key)
         assert self.queue.discard(key=key) is None
 
     @rule()
     def expire(self):
-        """Take out the late ones and compare the rest."""
+        """Remove the expired requests and compare the rest."""
         late = {k for k, one in self.model.items() if not is_in_time(one, self.now)}
-        expired = [waiting.key for waiting in self.queue.expire(now=self.now)]
+        expired = [request.key for request in self.queue.expire(now=self.now)]
         assert sorted(expired) == sorted(late)
         for key in late:
             del self.model[key]
@@ -266,11 +266,11 @@
 
     @invariant()
     def holds_no_more_than_given(self):
-        """Nothing is made up."""
+        """Check that the queue holds no more than was pushed."""
         assert len(self.queue) <= len(self.model)
 
     def teardown(self):
-        """Whatever went in comes out once."""
+        """Check that everything pushed comes out once."""
         self.expire()
         assert sorted(drain(self.queue, now=self.now)) == sorted(self.model)
 
--- a/test/decisions/test_fairshare.py
+++ b/test/decisions/test_fairshare.py
@@ -1,7 +1,7 @@
-"""Tests of which organisations give way."""
+"""Tests of which organisations are deprioritised."""
 
 from eelgrassrack.decisions.backlog import ReadingBacklog
-from eelgrassrack.decisions.fairshare import MOST_TOLD, Usage
+from eelgrassrack.decisions.fairshare import MAX_REPORTED, Usage
 from eelgrassrack.decisions.urgency import find_urgency
 
 NAMES = [f"org{number}" for number in range(12)]
@@ -15,30 +15,30 @@
     return usage
 
 
-def test_one_organisation_s_burst_gives_way():
+def test_one_organisation_s_burst_is_deprioritised():
     """One of twelve sends eight times as much as the others."""
     assert make_usage(hot={"org3"}, times=8.0).find_heavy(()) == {"org3"}
 
 
-def test_a_large_organisation_is_none_that_gives_way():
-    """It takes three times what the others do, day by day."""
+def test_a_large_organisation_is_not_deprioritised():
+    """It always takes three times as much as the others."""
     assert not make_usage(hot={"org3"}, times=3.0).find_heavy(())
 
 
 def test_a_burst_at_other_entries_counts():
-    """Callers of the hot organisation reach other entries than this one."""
-    told = [make_usage(hot={"org3"}, times=20.0).report() for _ in range(3)]
-    assert make_usage().find_heavy(told) == {"org3"}
+    """The callers of the hot organisation reach other entries than this one."""
+    reports = [make_usage(hot={"org3"}, times=20.0).report() for _ in range(3)]
+    assert make_usage().find_heavy(reports) == {"org3"}
 
 
-def test_peers_are_told_of_a_few_only():
-    told = make_usage(hot={"org3"}, times=8.0).report()
-    assert len(told.heaviest) == MOST_TOLD
-    assert told.heaviest[0].organisation == "org3"
-    assert told.milliseconds == 950
+def test_a_report_names_only_the_heaviest():
+    report = make_usage(hot={"org3"}, times=8.0).report()
+    assert len(report.heaviest) == MAX_REPORTED
+    assert report.heaviest[0].organisation == "org3"
+    assert report.milliseconds == 950
 
 
-def test_two_organisations_alone_are_equal():
+def test_two_organisations_are_too_few_to_compare():
     usage = Usage(now=0.0)
     usage.note(organisation="one", seconds=9.0)
     usage.note(organisation="other", seconds=0.1)
@@ -56,7 +56,7 @@
 def test_others_are_read_before_a_burst():
     """Engines have three seconds of one organisation's questions to read.
 
-    A question of another waits for its like alone, not for the burst.
+    A question of another organisation waits only for its own kind, not for the burst.
     """
     heavy = find_urgency(rank=0, reading=0.01, is_deprioritised=True)
     other = find_urgency(rank=0, reading=0.01)
@@ -66,6 +66,6 @@
 
 
 def test_ranks_of_operators_come_first():
-    """What gives way still goes before a lower rank."""
+    """A deprioritised request still precedes those of a lower rank."""
     heavy = find_urgency(rank=0, reading=0.01, is_deprioritised=True)
     assert heavy < find_urgency(rank=1, reading=0.01)
--- a/test/decisions/test_modelchoice.py
+++ b/test/decisions/test_modelchoice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of models."""
+"""Tests of the choice between a route's models."""
 
 from eelgrassrack.decisions.modelchoice import Estimate, choose_first, choose_next
 
@@ -40,21 +40,21 @@
     assert first() == "small"
 
 
-def test_what_may_run_once_only_begins_with_the_best():
+def test_unrepeatable_requests_begin_with_the_best():
     assert first(is_repeatable=False) == "large"
     assert first(attempts=1) == "large"
 
 
 def test_a_long_prompt_begins_with_the_best():
-    """Asking another model first would make its answer late."""
+    """Asking another model first would make the best model's answer late."""
     assert first(objective=0.5) == "large"
     assert first(objective=0.3) == "small"
 
 
 def test_a_long_prompt_begins_with_the_cheapest_if_both_are_in_time():
-    """A contract is long, and more than half of them need no better model.
+    """Contracts are long prompts, and more than half of them need no better model.
 
-    Asked at once, the best one is paid for all of them.
+    If they began with the best model, all of them would pay for it.
     """
     assert first(objective=0.6) == "small"
 
@@ -67,36 +67,36 @@
     assert first(waits, objective=0.6) == "large"
 
 
-def test_a_sure_answer_is_taken():
+def test_a_confident_answer_is_accepted():
     assert following(60) is None
     assert following(None) is None
 
 
-def test_a_little_unsure_goes_to_the_next_and_far_to_the_best():
+def test_confidence_decides_between_the_next_and_the_best():
     assert following(50) == "middle"
     assert following(20) == "large"
     assert following(20, model="middle") == "large"
 
 
-def test_the_best_answer_is_taken_however_unsure():
+def test_the_best_models_answer_is_always_accepted():
     assert following(0, model="large") is None
 
 
-def test_under_overload_better_models_give_way():
-    """Engines have five seconds to read.
+def test_under_overload_no_better_model_is_asked():
+    """Engines have five seconds of prompts to read.
 
-    Each run of the best model would take the time of ten others, and come late.
+    Each run of the best model would take the engine time of ten others and end late.
     """
     assert following(20, estimate=full) is None
 
 
 def test_an_idle_engine_answers_though_late():
-    """A very long prompt is late anyway; a wrong answer would be worth nothing."""
+    """A very long prompt is late anyway, and a wrong answer would be worthless."""
     assert following(20, estimate=lambda _: Estimate(9.0, 0.0)) == "large"
 
 
-def test_a_better_answer_must_become_whole_in_time():
-    """A caller was held up by a fault and comes back with five seconds left.
+def test_a_better_answer_must_complete_in_time():
+    """A fault delayed a caller, which retries with five seconds left.
 
     The best model would be cut off in the middle of its answer.
     """
@@ -110,10 +110,10 @@
 
 
 def test_a_short_prompt_gets_a_better_model_though_engines_have_a_queue():
-    """A third of the engines is gone, and the others have half a second to read.
+    """A third of the engines has failed; the others have half a second to read.
 
-    A short prompt takes the best model a few hundredths of a second; the cheapest
-    model's answer, known to be wrong, would be worth nothing to its caller.
+    The best model reads a short prompt in a few hundredths of a second, and the
+    cheapest model's answer, which is known to be wrong, would be worthless.
     """
 
     def busy(model):
--- a/test/decisions/test_reserve.py
+++ b/test/decisions/test_reserve.py
@@ -1,4 +1,4 @@
-"""Tests of the slots kept for organisations with little running."""
+"""Tests of the slots that are reserved for organisations that run little."""
 
 from eelgrassrack.decisions.fairqueue import FairQueue, QueuedRequest
 from eelgrassrack.decisions.reserve import LAPSE_SECONDS, SlotReserve
@@ -16,8 +16,8 @@
 def test_last_slot_is_kept_for_a_quiet_organisation():
     """A large organisation fills a window of 16 and queues more.
 
-    A quiet caller's request then finds a slot at once, in place of waiting
-    for a long job to end.
+    A quiet organisation's request still finds a slot at once, instead of waiting until
+    a long job ends.
     """
     queue, reserve = FairQueue(), SlotReserve()
     reserve.start(organisation="quiet", now=0.0)
