--- a/eelgrassrack/decisions/pace.py
+++ b/eelgrassrack/decisions/pace.py
@@ -1,65 +1,66 @@
-"""How long each model takes to read a prompt, learned from answers.
+"""Estimates how long each model takes to read a prompt and to generate an answer.
 
-Load pattern: a route's models read prompts at speeds that differ by a factor
-of ten, and prompts differ by a factor of fifty.  Whoever counts requests, or
-tokens, sends a short question behind a long prompt of the slowest model and
-makes it wait for two seconds.
+A route's models read prompts at speeds that differ by a factor of ten, and prompts
+differ in length by a factor of fifty.  If endpoints were compared by requests or
+tokens, a short question would wait two seconds behind a long prompt of the slowest
+model.
 
-Only answers of endpoints that had nothing else to read are learned from: with
-a queue before it the time says more of the queue than of the model.
+The estimates are learned only from endpoints that had nothing else to read; otherwise
+the measured time would tell more about the queue than about the model.
 
-An entry that has just started knows no pace.  Its guess may be several times
-too slow, and until it has learned better it takes half of the long prompts for
-too long to ask a cheap model first.  The first answers that come sooner than
-guessed therefore count more.  Those that come later count as little as ever:
-something else may have held them up, but nothing answers before it has read.
+A new entry begins with a guess that may be several times too slow.  Until it has
+learned better, it would consider half of the long prompts too long for asking a cheap
+model first.  The first answers that come sooner than estimated therefore have more
+weight.  Answers that come later always have the small weight: something else may have
+delayed them, whereas no endpoint answers before it has read the prompt.
 """
 
 import msgspec
 
-# Seconds to read a token with the cheapest model before any answer was seen.
-FIRST_PACE = 1 / 120_000
+# Initial guess of the seconds that the cheapest model takes to read a token.
+INITIAL_SECONDS_PER_TOKEN = 1 / 120_000
 
-# Before any answer, a model of n times the cost is taken to be this part of
-# n times as slow.
-COST_SHARE = 0.7
+# The initial guess for a model of n times the cost is n times this factor as slow.
+COST_FACTOR = 0.7
 
-# What an idle engine takes before the first token whatever the prompt.
+# Time until the first token on an idle engine, apart from reading the prompt.
 BASE_SECONDS = 0.031
 
-# Prompts shorter than this say too little of the pace.
-LEAST_TOKENS = 500
+# Shorter prompts tell too little about the pace.
+MIN_TOKENS = 500
 
-# The weight of one answer in the end; paces change with the batch beside,
-# within seconds.
-WEIGHT = 1 / 12
+# Weight of an answer once the pace is learned.  The pace changes within seconds, with
+# the other requests in the engine's batch.
+ANSWER_WEIGHT = 1 / 12
 
-# An answer much slower than the known pace has met something else, such as
-# another entry's request that wasn't known of yet.
-MOST_FACTOR = 3.0
+# Answers count as at most this many times slower than the estimate: beyond that,
+# something else delayed them, such as another entry's request not known here yet.
+MAX_SLOWER_FACTOR = 3.0
 
 
-# Seconds to generate a token before any answer was seen: what an engine takes
-# with a dozen requests beside.
-FIRST_STREAM_PACE = 0.005
+# Initial guess of the seconds to generate a token, on an engine that runs a dozen other
+# requests.
+INITIAL_STREAM_SECONDS_PER_TOKEN = 0.005
 
 
 class Learned(msgspec.Struct, frozen=True):
-    """Seconds a token, and from how many answers they were learned."""
+    """Estimated seconds per token, and the number of answers behind the estimate."""
 
     seconds: float
     answers: int = 0
 
     def note(self, seconds: float) -> "Learned":
-        """Return it with one more answer; what was guessed counts as one."""
+        """Return the estimate after one more answer; the guess counts as one answer."""
         is_sooner = seconds < self.seconds
-        weight = max(WEIGHT, 1 / (self.answers + 2)) if is_sooner else WEIGHT
-        known = self.seconds + (seconds - self.seconds) * weight
-        return Learned(known, self.answers + 1)
+        weight = (
+            max(ANSWER_WEIGHT, 1 / (self.answers + 2)) if is_sooner else ANSWER_WEIGHT
+        )
+        estimate = self.seconds + (seconds - self.seconds) * weight
+        return Learned(estimate, self.answers + 1)
 
 
 class Pace:
-    """Seconds to read a prompt and to generate an answer, by model."""
+    """The models' estimated seconds to read a prompt and to generate an answer."""
 
     __slots__ = ("_paces", "_streams")
 
@@ -68,32 +69,34 @@
         self._streams: dict[str, float] = {}
 
     def note(self, *, model: str, cost: float, tokens: int, seconds: float) -> None:
-        """Learn from an answer of an endpoint that was idle.
+        """Learn from the first token of an endpoint that was idle, after `seconds`.
 
-        `cost` is that of the model relative to the cheapest, `tokens` the
-        prompt without what was most likely cached.
+        `cost` is that of the model relative to the cheapest, `tokens` the length of the
+        prompt without the part that was probably cached.
         """
-        if tokens < LEAST_TOKENS:
+        if tokens < MIN_TOKENS:
             return
-        known = self._find(model, cost)
+        estimate = self._find(model, cost)
         seen = max(seconds - BASE_SECONDS, 0.0) / tokens
-        self._paces[model] = known.note(min(seen, known.seconds * MOST_FACTOR))
+        self._paces[model] = estimate.note(
+            min(seen, estimate.seconds * MAX_SLOWER_FACTOR)
+        )
 
     def estimate(self, *, model: str, cost: float, tokens: int) -> float:
-        """Return the seconds that an engine is busy with reading a prompt."""
+        """Return the seconds that an engine takes to read a prompt of `tokens`."""
         return self._find(model, cost).seconds * tokens
 
     def note_stream(self, *, model: str, tokens: int, seconds: float) -> None:
-        """Learn from a whole stream how long its tokens took after the first."""
+        """Learn from a complete stream: `tokens` took `seconds` after the first."""
         if not tokens:
             return
-        known = self._streams.setdefault(model, seconds / tokens)
-        self._streams[model] = known + (seconds / tokens - known) * WEIGHT
+        estimate = self._streams.setdefault(model, seconds / tokens)
+        self._streams[model] = estimate + (seconds / tokens - estimate) * ANSWER_WEIGHT
 
     def estimate_stream(self, *, model: str, tokens: int) -> float:
-        """Return the seconds from the first token of an answer to the last."""
-        return self._streams.get(model, FIRST_STREAM_PACE) * tokens
+        """Return the seconds from the first to the last token of an answer."""
+        return self._streams.get(model, INITIAL_STREAM_SECONDS_PER_TOKEN) * tokens
 
     def _find(self, model: str, cost: float) -> Learned:
-        guess = Learned(FIRST_PACE * max(cost * COST_SHARE, 1.0))
+        guess = Learned(INITIAL_SECONDS_PER_TOKEN * max(cost * COST_FACTOR, 1.0))
         return self._paces.get(model, guess)
--- a/eelgrassrack/decisions/pins.py
+++ b/eelgrassrack/decisions/pins.py
@@ -1,19 +1,19 @@
-"""Which version a request of a session goes to.
+"""Session pinning: each request of a session goes to the same version of a model.
 
-Load pattern: a roll-out moves the weights of a model's versions while
-conversations are under way.  Without this module the turns of one
-conversation go to different versions, which contradict each other.
+A roll-out changes the weights of a model's versions during conversations.  Without
+pinning, the turns of one conversation would go to different versions, whose answers may
+contradict each other.
 
-A session keeps its version whatever the weights are.  When that version is
-withdrawn the two promises meet, and the withdrawal wins: the request is
-refused, and says so, rather than moved to another version silently.
+A session keeps its version whatever the weights are.  If the version is withdrawn, the
+withdrawal takes precedence: the request is refused with that reason instead of being
+moved silently to another version.
 """
 
 import msgspec
 
 
 class Pinned(msgspec.Struct, kw_only=True, frozen=True):
-    """The session has a version."""
+    """The session is pinned to a version."""
 
     version: str
 
@@ -33,7 +33,7 @@
 
 
 class RefuseWithdrawn(msgspec.Struct, kw_only=True, frozen=True):
-    """Refuse: the session's version may not be given new work."""
+    """Refuse the request: the session's version gets no new requests."""
 
     version: str
 
@@ -41,11 +41,11 @@
 def judge_pin(
     *, pin: Pinned | Unpinned, active: frozenset[str], permitted: frozenset[str]
 ) -> Keep | Choose | RefuseWithdrawn:
-    """Decide on a session's version.
+    """Decide which version a session's request uses.
 
-    `active` holds the versions that may be given new work, `permitted`
-    those that the organisation may use and that the request asks for.  A
-    pin on a version that isn't asked for is another model's: it is ignored.
+    `active` holds the versions that may get new requests, `permitted` those that the
+    organisation may use and that match the requested model.  A pin to a version outside
+    `permitted` belongs to another model and is ignored.
     """
     match pin:
         case Unpinned():
--- a/eelgrassrack/decisions/placement.py
+++ b/eelgrassrack/decisions/placement.py
@@ -1,16 +1,16 @@
-"""Which endpoint a request goes to.
-
-Load pattern: endpoints of unlike load, some cold, one suddenly ten times
-slower, under load reports that lag by a second.  Without this module round
-robin keeps feeding the slow endpoint, and taking the least loaded by report
-sends every entry to the same one until its next report.
-
-Two endpoints are drawn and the less loaded is taken (power of two choices):
-its last report, corrected by what this entry sent and saw end since,
-relative to its window, so a cold endpoint gets little.  Endpoints of the
-same failure domain come first while they aren't full.  Requests of one
-session or prompt prefix go to the same endpoint, for its prefix cache,
-unless that one is loaded well beyond the others.
+"""Load balancing: the choice of an endpoint for a request.
+
+Endpoints differ in load; some are cold, one may suddenly be ten times slower, and load
+reports lag by a second.  Round robin would keep sending requests to the slow endpoint.
+Choosing the least loaded one by report would send all entries to the same endpoint
+until its next report.
+
+The balancer draws two endpoints at random and takes the less loaded one (power of two
+choices).  An endpoint's load is its last report, corrected by the requests that this
+entry has sent and finished since, relative to its window, so a cold endpoint gets few
+requests.  Endpoints of the entry's own failure domain are preferred while they aren't
+full.  Requests of one session or prompt prefix go to the same endpoint, for its prefix
+cache, unless its load is well above that of the others.
 """
 
 import enum
@@ -24,30 +24,30 @@
 from .ejection import Ejection
 from .ring import Ring
 
-# Network latency counts against load in units of the first token's target:
-# 0.77 s of latency is as bad as a full window.
+# Network latency is converted to load in units of the target for the first token:
+# 0.77 s of latency count as much as a full window.
 FIRST_TOKEN_SECONDS = 0.77
 
-# A report loses half its worth for each this many seconds beyond the usual
-# lag; a report of old load must not keep an idle endpoint idle.
-REPORT_HALF_LIFE = 5.0
+# Half-life of a reported load, so that an old report doesn't keep an idle endpoint
+# idle.
+REPORT_HALF_LIFE_SECONDS = 5.0
 
-# A report is new if it was made this much later than the one before.  Its
-# time is worked out from its age, so that of the same report varies a little.
-REPORT_JITTER = 0.01
+# A report is new if it is this much later than the previous one.  Its time is computed
+# from its age, so it varies slightly for one and the same report.
+REPORT_JITTER_SECONDS = 0.01
 
-# An endpoint of the own failure domain is taken up to this relative load:
-# at a full window a request would wait there while it could run elsewhere.
-NEAR_LOAD = 0.75
+# An endpoint of the own failure domain is used up to this load relative to its window.
+# At a full window a request would wait there while it could run elsewhere.
+MAX_NEAR_LOAD = 0.75
 
-# Affinity holds up to 1.25 times the load of an alternative plus one
-# request: the usual factor of consistent hashing with bounded loads, which
-# keeps a hot prefix from filling one endpoint while others are idle.
+# Affinity applies up to 1.25 times the load of the alternative plus one request: the
+# usual factor of consistent hashing with bounded loads, which keeps a hot prefix from
+# filling one endpoint while others are idle.
 AFFINITY_FACTOR = 1.25
 
-# The own failure domain gives at most this part of a subset, so that when it
-# is taken out the entry already knows endpoints elsewhere.
-NEAR_SHARE = 0.5
+# Maximum share of a subset that the own failure domain provides, so that the entry
+# already knows other endpoints when its domain is taken out.
+MAX_NEAR_SHARE = 0.5
 
 
 class NoCandidateReason(enum.Enum):
@@ -59,13 +59,16 @@
 
 
 class NoCandidate(msgspec.Struct, kw_only=True, frozen=True):
-    """No endpoint can be given the request now."""
+    """No endpoint can get the request now."""
 
     reason: NoCandidateReason
 
 
 class Pending:
-    """What this entry sent and saw end since an endpoint's last report."""
+    """This entry's changes to an endpoint's load since its last report.
+
+    `net` is the number of requests sent minus those finished.
+    """
 
     __slots__ = ("group", "net", "reported_at")
 
@@ -76,7 +79,7 @@
 
 
 class Placement:
-    """Choose endpoints for one entry, which stands in `domain`."""
+    """Choose endpoints for one entry in the failure domain `domain`."""
 
     __slots__ = ("_ejection", "_pending", "_ring", "domain")
 
@@ -94,15 +97,23 @@
         chances: tuple[float, float],
         now: float,
     ) -> Candidate | NoCandidate:
-        """Return the endpoint for a request, or why there is none."""
-        live = [one for one in candidates if one.engine_up and not one.draining]
+        """Return the endpoint for a request, or why there is none.
+
+        `affinity` is the key of a session or prompt prefix, `chances` two random
+        numbers in [0, 1), `now` the time in seconds.
+        """
+        live = [
+            candidate
+            for candidate in candidates
+            if candidate.engine_up and not candidate.draining
+        ]
         if not live:
-            return NoCandidate(reason=_explain_none(candidates))
+            return NoCandidate(reason=_find_reason(candidates))
         usable = self._ejection.select(candidates=live, now=now)
         balanced = self._balance(usable=usable, chances=chances, now=now)
         if affinity is None:
             return balanced
-        return self._find_affine(
+        return self._prefer_affine(
             usable=usable, affinity=affinity, balanced=balanced, now=now
         )
 
@@ -115,8 +126,8 @@
     ) -> None:
         """Count the end of a request and learn from it.
 
-        `seconds` is the time to the first piece of the answer, which
-        doesn't depend on how long the answer is.
+        `seconds` is the time to the first piece of the answer, which doesn't depend on
+        the answer's length.
         """
         pending = self._find_pending(endpoint=endpoint)
         pending.net -= 1
@@ -129,32 +140,35 @@
         )
 
     def note_abandoned(self, *, endpoint: str) -> None:
-        """Count the end of a request that shows nothing of its endpoint.
+        """Count the end of a request that tells nothing about its endpoint.
 
-        So ends one that was refused before it started, or was cancelled.
+        It was refused before it started, or cancelled.
         """
         self._find_pending(endpoint=endpoint).net -= 1
 
     def forget(self, *, endpoint: str) -> None:
-        """Drop what is known of an endpoint that is gone for good."""
+        """Delete all state of an endpoint that was removed."""
         self._pending.pop(endpoint, None)
         self._ring.remove(endpoint)
         self._ejection.forget(endpoint=endpoint)
 
     def is_ejected(self, *, endpoint: str, now: float) -> bool:
-        """Tell whether an endpoint is passed over for failing or slowness."""
+        """Return whether an endpoint is ejected because it fails or is slow."""
         return self._ejection.is_ejected(endpoint=endpoint, now=now)
 
     def estimate_load(self, *, candidate: Candidate, now: float) -> float:
-        """Return how much an endpoint has, with one more, by its window."""
+        """Return the load of an endpoint with one more request, relative to its window.
+
+        Also starts a new count of pending requests if the candidate has a new report.
+        """
         pending = self._find_pending(endpoint=candidate.name)
         pending.group = candidate.group
         reported_at = now - candidate.reported_age
-        if reported_at > pending.reported_at + REPORT_JITTER:
+        if reported_at > pending.reported_at + REPORT_JITTER_SECONDS:
             pending.reported_at = reported_at
             pending.net = 0
-        worth = 0.5 ** (candidate.reported_age / REPORT_HALF_LIFE)
-        reported = (candidate.running + candidate.queued) * worth + pending.net
+        weight = 0.5 ** (candidate.reported_age / REPORT_HALF_LIFE_SECONDS)
+        reported = (candidate.running + candidate.queued) * weight + pending.net
         work = max(reported, candidate.local) + 1
         return work / max(candidate.window, 1)
 
@@ -165,10 +179,11 @@
         chances: tuple[float, float],
         now: float,
     ) -> Candidate:
-        near = [one for one in usable if one.domain == self.domain]
+        """Return a less loaded endpoint, preferably of the own failure domain."""
+        near = [candidate for candidate in usable if candidate.domain == self.domain]
         if near:
             chosen, load = self._pick_of_two(near, chances=chances, now=now)
-            if load <= NEAR_LOAD or len(near) == len(usable):
+            if load <= MAX_NEAR_LOAD or len(near) == len(usable):
                 return chosen
         return self._pick_of_two(usable, chances=chances, now=now)[0]
 
@@ -179,7 +194,7 @@
         chances: tuple[float, float],
         now: float,
     ) -> tuple[Candidate, float]:
-        """Draw two different endpoints and return the better and its load."""
+        """Draw two different endpoints; return the less loaded one and its score."""
         first = int(chances[0] * len(candidates))
         step = 1 + int(chances[1] * (len(candidates) - 1))
         second = (first + step) % len(candidates)
@@ -187,7 +202,7 @@
             (self._score(candidates[index], now=now), candidates[index])
             for index in (first, second)
         ]
-        # The first drawn wins a tie, so equal endpoints are equally likely.
+        # The first one drawn wins a tie, so equal endpoints are equally likely.
         score, chosen = min(scored, key=operator.itemgetter(0))
         return chosen, score
 
@@ -195,7 +210,7 @@
         load = self.estimate_load(candidate=candidate, now=now)
         return load + candidate.latency / FIRST_TOKEN_SECONDS
 
-    def _find_affine(
+    def _prefer_affine(
         self,
         *,
         usable: Sequence[Candidate],
@@ -203,8 +218,8 @@
         balanced: Candidate,
         now: float,
     ) -> Candidate:
-        """Return the affinity's endpoint unless it is loaded too far."""
-        by_name = {one.name: one for one in usable}
+        """Return the affinity's endpoint, or `balanced` if its load is too high."""
+        by_name = {candidate.name: candidate for candidate in usable}
         self._ring.add(by_name.keys())
         names = (name for name in self._ring.walk(affinity) if name in by_name)
         affine = by_name[next(names)]
@@ -227,29 +242,31 @@
     domain: str,
     size: int,
 ) -> tuple[str, ...]:
-    """Return the endpoints that the entry `key` in `domain` works with.
+    """Return the subset of `size` endpoints that the entry `key` in `domain` uses.
 
-    Rendezvous hashing keeps the choice when an endpoint joins or leaves.
-    The own domain gives at most half, the others share the rest, and
-    what a small domain lacks is filled up from all.
+    Rendezvous hashing keeps the subset stable when endpoints join or leave.  The own
+    domain provides at most half, the other domains share the rest, and what small
+    domains lack is filled up from all of them.
     """
     ranked = {
-        name: sorted(names, key=lambda one: _rendezvous(key, one), reverse=True)
+        name: sorted(
+            names, key=lambda endpoint: _rendezvous(key, endpoint), reverse=True
+        )
         for name, names in names_by_domain.items()
         if names
     }
-    others = sorted(ranked.keys() - {domain}, key=lambda one: _rendezvous(key, one))
-    near_quota = int(size * NEAR_SHARE + 0.5) if others else size
+    others = sorted(ranked.keys() - {domain}, key=lambda other: _rendezvous(key, other))
+    near_quota = int(size * MAX_NEAR_SHARE + 0.5) if others else size
     chosen = ranked.get(domain, [])[:near_quota]
-    left = size - len(chosen)
+    missing = size - len(chosen)
     for index, name in enumerate(others):
-        quota = -(-left // (len(others) - index))
+        quota = -(-missing // (len(others) - index))
         taken = ranked[name][:quota]
         chosen += taken
-        left -= len(taken)
-    rest = {one for names in ranked.values() for one in names} - set(chosen)
-    fill = sorted(rest, key=lambda one: _rendezvous(key, one), reverse=True)
-    return tuple(chosen + fill[:left])
+        missing -= len(taken)
+    rest = {endpoint for names in ranked.values() for endpoint in names} - set(chosen)
+    fill = sorted(rest, key=lambda endpoint: _rendezvous(key, endpoint), reverse=True)
+    return tuple(chosen + fill[:missing])
 
 
 def _rendezvous(key: str, name: str) -> int:
@@ -260,9 +277,10 @@
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-def _explain_none(candidates: Sequence[Candidate]) -> NoCandidateReason:
+def _find_reason(candidates: Sequence[Candidate]) -> NoCandidateReason:
+    """Return why none of the candidates can get a request."""
     if not candidates:
         return NoCandidateReason.NONE_KNOWN
-    if all(one.draining for one in candidates):
+    if all(candidate.draining for candidate in candidates):
         return NoCandidateReason.DRAINING
     return NoCandidateReason.ENGINE_DOWN
--- a/eelgrassrack/decisions/precedence.py
+++ b/eelgrassrack/decisions/precedence.py
@@ -1,13 +1,13 @@
-"""Which entries have a place where there are fewer places than entries.
+"""The order in which entries may use an endpoint that can't serve all of them.
 
-Load pattern: an endpoint is back cold and bears twenty requests a second, and
-sixty entries find it idle.  One request from each would fell it.
+An endpoint that returns cold may handle twenty requests per second while sixty entries
+find it idle; one request from each entry would crash it.
 
-All entries order each other in the same way for the same endpoint, those of its
-failure domain first, since bytes between domains are paid for.  Only the first
-have a place.  An entry that isn't sure whether another goes before it assumes so:
-of those that take a place the last one counts all others, so there are never more
-than places, whatever each knows, as long as it knows who the others are.
+All entries compute the same order for an endpoint, with those of its failure domain
+first, since bytes between domains cost money.  Only the first entries may use it.  An
+entry that isn't sure whether another one precedes it assumes that it does.  The last
+entry that uses the endpoint has then counted all others that do, so the limit holds
+whatever each entry knows of the others' domains, as long as it knows their names.
 """
 
 from collections.abc import Iterable
@@ -26,13 +26,14 @@
 def count_before(
     *, own: Sharer, others: Iterable[Sharer], key: str, domain: str
 ) -> int:
-    """Return how many entries may go before one at an endpoint.
+    """Return how many of the other entries may precede this one at an endpoint.
 
-    `key` stands for the endpoint, `domain` is its failure domain.
+    `key` identifies the endpoint, `domain` is its failure domain.
     """
-    place = (own.domain != domain, _rank(key, own.name))
+    position = (own.domain != domain, _rank(key, own.name))
     return sum(
-        (one.domain not in {"", domain}, _rank(key, one.name)) < place for one in others
+        (entry.domain not in {"", domain}, _rank(key, entry.name)) < position
+        for entry in others
     )
 
 
--- a/eelgrassrack/decisions/quarantine.py
+++ b/eelgrassrack/decisions/quarantine.py
@@ -1,20 +1,21 @@
-"""Which requests are kept from endpoints because they crash them.
-
-Load pattern: a single request crashes each endpoint that runs it, and its
-caller sends it again and again.  Without this module it walks through the
-pool until no endpoint is left, and each crash fails the whole batch that
-ran beside it.
-
-A crash makes suspects of all requests that ran: the engine doesn't say which
-one it was.  A suspect may run once more, alone, so that another crash can
-only be its own.  It is quarantined when it crashed an endpoint alone, or was
-there when a second endpoint crashed.  So one request fells at most two
-endpoints, and the innocent of the batch are cleared by running whole.  An
-innocent that was in both batches and didn't run whole between is
-quarantined too: sparing it would let the guilty fell a third endpoint.
-
-While a suspect runs alone its copies wait, if the entry tells of the run by
-`begin_trial`: two copies at once would fell two more endpoints.
+"""Quarantine of queries of death: requests that crash the endpoints that run them.
+
+The caller of such a request sends it again and again.  Without a quarantine it would
+crash one endpoint of the pool after the other, each time together with the batch of
+requests that run beside it.
+
+After a crash all requests that were running are suspects, since the engine doesn't say
+which one caused it.  A suspect may run once more, alone, so that another crash can only
+be its own.  It is quarantined if it crashed an endpoint alone, or if it was running
+when a second endpoint crashed.  One request thus crashes at most two endpoints, and the
+innocent requests of a batch are cleared when they complete.  An innocent request that
+was in both batches and didn't complete in between is quarantined too, because sparing
+it would let the culprit crash a third endpoint.
+
+While a suspect runs alone its copies wait, provided that the entry calls `begin_trial`:
+two copies at once would crash two more endpoints.
+
+Suspects are requests here; suspected endpoints are the subject of `suspects`.
 """
 
 from typing import TypeVar
@@ -23,48 +24,48 @@
 
 T = TypeVar("T")
 
-# A quarantine ends after an hour: callers give up long before, and an engine
-# that was mended meanwhile should not refuse the request for good.
+# A quarantine ends after an hour: callers give up long before, and an engine that was
+# fixed in the meantime should accept the request again.
 QUARANTINE_SECONDS = 3_600.0
 
-# An ended quarantine isn't taken over from a peer again for ten minutes.
-# Peers' quarantines end at slightly different times, and without this they
-# would hand an ended one back and forth for ever.
-MERGE_GRACE = 600.0
+# An ended quarantine isn't merged from a peer again for ten minutes.  Quarantines end
+# at slightly different times at different peers; without this grace peers would pass an
+# ended quarantine back and forth for ever.
+MERGE_GRACE_SECONDS = 600.0
 
-# A suspect whose caller never came back is forgotten after ten minutes.
+# A suspect whose caller didn't send it again is forgotten after ten minutes.
 SUSPECT_SECONDS = 600.0
 
-# A run alone whose end was never told doesn't hold up copies any longer
-# than the default deadline of a request.
+# Copies wait for a trial whose end was never reported no longer than the default
+# deadline of a request.
 TRIAL_SECONDS = 60.0
 
-# Bounds the memory that a caller with ever new fingerprints can take.
-MOST_SUSPECTS = 10_000
+# Limits the memory that a caller with ever new fingerprints can use.
+MAX_SUSPECTS = 10_000
 
 
 class Clear(msgspec.Struct, kw_only=True, frozen=True):
-    """The request may run beside others."""
+    """The request may run together with others."""
 
 
 class RunAlone(msgspec.Struct, kw_only=True, frozen=True):
-    """The request may run with nothing else beside it."""
+    """The request is a suspect and may run only while nothing else runs."""
 
 
 class Quarantined(msgspec.Struct, kw_only=True, frozen=True):
-    """The request may not run; it may be sent again after `retry_after`."""
+    """The request may not run; it may be sent again after `retry_after` seconds."""
 
     retry_after: float
 
 
 class OnTrial(msgspec.Struct, kw_only=True, frozen=True):
-    """A copy of the request runs alone just now; come back for the outcome."""
+    """A copy of the request is on trial; send it again after `retry_after` seconds."""
 
     retry_after: float
 
 
 class Suspect:
-    """A request that ran where an engine died."""
+    """A suspected request: it was running on `endpoints` when they crashed."""
 
     __slots__ = ("endpoints", "forgotten_at", "trial_until")
 
@@ -75,10 +76,10 @@
 
 
 class Quarantine:
-    """Find the requests that crash endpoints and keep them away."""
+    """Find the requests that crash endpoints and block them."""
 
-    # Each table is ordered by its time, since all its entries last equally
-    # long: what has run out stands first.
+    # Each table is ordered by time, since all its entries have the same lifetime:
+    # expired ones come first.
     __slots__ = ("_ended", "_now", "_suspects", "_until")
 
     def __init__(self) -> None:
@@ -89,15 +90,16 @@
 
     @property
     def fingerprints(self) -> tuple[str, ...]:
-        """Return what is quarantined as of the latest call."""
+        """Return the quarantined fingerprints as of the latest call."""
         return tuple(self._until)
 
     def note_crash(
         self, *, endpoint: str, fingerprints: tuple[str, ...], alone: bool, now: float
     ) -> tuple[str, ...]:
-        """Take over a crash and return what is quarantined by it.
+        """Note a crash and return the fingerprints that it quarantines.
 
-        The same crash may be told more than once.
+        `fingerprints` are those of the requests that were running; `alone` says that
+        there was only one, on trial.  The same crash may be noted more than once.
         """
         self._advance(now=now)
         known = {
@@ -105,21 +107,21 @@
             for fingerprint in fingerprints
             if fingerprint and fingerprint not in self._until
         }
-        guilty = {
+        culprits = {
             fingerprint
             for fingerprint in known
-            if alone or self._fell_elsewhere(fingerprint, endpoint=endpoint)
+            if alone or self._crashed_elsewhere(fingerprint, endpoint=endpoint)
         }
-        for fingerprint in sorted(guilty):
+        for fingerprint in sorted(culprits):
             self._quarantine(fingerprint)
-        for fingerprint in sorted(known - guilty):
+        for fingerprint in sorted(known - culprits):
             self._suspect(fingerprint, endpoint=endpoint)
-        return tuple(sorted(guilty))
+        return tuple(sorted(culprits))
 
     def judge(
         self, *, fingerprint: str, now: float
     ) -> Clear | RunAlone | OnTrial | Quarantined:
-        """Decide whether and how a request may run."""
+        """Return whether and how a request may run."""
         self._advance(now=now)
         if fingerprint in self._until:
             return Quarantined(retry_after=self._until[fingerprint] - now)
@@ -131,29 +133,29 @@
         return RunAlone()
 
     def begin_trial(self, *, fingerprint: str, now: float) -> None:
-        """Note that a suspect runs alone now."""
+        """Note that a suspect begins to run alone."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.trial_until = now + TRIAL_SECONDS
 
     def end_trial(self, *, fingerprint: str) -> None:
-        """Note that a run alone ended without showing anything."""
+        """Note that a trial ended without a result."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.trial_until = float("-inf")
 
     def note_cleared(self, *, fingerprint: str) -> None:
-        """Clear a suspect that ran whole; a quarantine stays."""
+        """Clear a suspect that has completed; a quarantine stays."""
         self._suspects.pop(fingerprint, None)
 
     def merge(self, *, fingerprints: tuple[str, ...], now: float) -> None:
-        """Take over what a peer has quarantined."""
+        """Add the quarantines of a peer."""
         self._advance(now=now)
         for fingerprint in fingerprints:
             if fingerprint not in self._until and fingerprint not in self._ended:
                 self._quarantine(fingerprint)
 
-    def _fell_elsewhere(self, fingerprint: str, *, endpoint: str) -> bool:
+    def _crashed_elsewhere(self, fingerprint: str, *, endpoint: str) -> bool:
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and bool(suspect.endpoints - {endpoint})
 
@@ -168,15 +170,17 @@
         suspect.forgotten_at = self._now + SUSPECT_SECONDS
         suspect.trial_until = float("-inf")
         self._suspects[fingerprint] = suspect
-        if len(self._suspects) > MOST_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECTS:
             del self._suspects[next(iter(self._suspects))]
 
     def _advance(self, *, now: float) -> None:
-        """Drop what has run out."""
+        """Drop expired entries."""
         self._now = max(self._now, now)
         while self._until and _find_first(self._until) <= self._now:
             fingerprint = next(iter(self._until))
-            self._ended[fingerprint] = self._until.pop(fingerprint) + MERGE_GRACE
+            self._ended[fingerprint] = (
+                self._until.pop(fingerprint) + MERGE_GRACE_SECONDS
+            )
         while self._ended and _find_first(self._ended) <= self._now:
             del self._ended[next(iter(self._ended))]
         while self._suspects and _find_first(self._suspects).forgotten_at <= self._now:
--- a/eelgrassrack/decisions/queryofdeath.py
+++ b/eelgrassrack/decisions/queryofdeath.py
@@ -1,37 +1,40 @@
-"""Which requests are kept from endpoints because they crash them.
+"""Detection of queries of death: requests that crash the endpoints that run them.
 
-Load pattern: one request crashes each endpoint that begins to run it, and its
-caller sends it again at another entry.  Without this module it fells one
-endpoint after the other, each time with all that ran beside it.
+Such a request crashes each endpoint that begins to run it, together with all requests
+that run there, and its caller sends it again through another entry.  Without detection
+it would bring down one endpoint after the other.
 
-A lost answer alone proves nothing.  A request is suspected of a crash if its
-answer was lost and its endpoint was found down right after.  What was lost in
-three crashes of different lifetimes is kept back: an innocent request that
-ran beside the guilty one is hit once or twice.
+A lost answer alone proves nothing.  A request is suspected of a crash if its answer was
+lost and its endpoint was found down right afterwards.  A request that was lost in the
+crashes of three different endpoint lifetimes is blocked; an innocent request that ran
+beside a query of death is hit only once or twice.
 """
 
 import collections
 
 import msgspec
 
-# How long after a loss the endpoint must be found down.
+# An endpoint must be found down within this time after a loss.
 PROOF_SECONDS = 2.0
 
-# Crashes of different lifetimes that make a request guilty.
-MOST_CRASHES = 3
+# Number of crashes, of different lifetimes, after which a request is blocked.
+CULPRIT_CRASHES = 3
 
-# A crash is told to other entries for this long, in several news: when a dozen
-# endpoints crash at once, hundreds of requests are suspected, and news that
-# named them all for two minutes filled the links.
-TOLD_SECONDS = 1.5
-MOST_TOLD = 60
+# A crash is reported to peers for this long, in several updates, and at most so many at
+# once: when a dozen endpoints crash together, hundreds of requests are suspected, and
+# updates that named them all for two minutes saturated the links.
+REPORT_SECONDS = 1.5
+MAX_REPORTED = 60
 
-# A crash is forgotten after this long; its callers gave up long before.
+# A crash is forgotten after this time; callers give up long before.
 MEMORY_SECONDS = 120.0
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """A request's answer was lost in the crash of a lifetime."""
+    """The loss of a request's answer in the crash of an endpoint's lifetime.
+
+    `born` identifies the lifetime of the endpoint.
+    """
 
     fingerprint: str
     endpoint: str
@@ -39,28 +42,28 @@
 
 
 class QueryOfDeathDetector:
-    """Find the requests that crash endpoints."""
+    """Find the requests that crash endpoints, from own losses and peers' reports."""
 
     __slots__ = ("_crashes", "_found", "_losses")
 
     def __init__(self) -> None:
         self._found: collections.deque[tuple[float, Crash]] = collections.deque(
-            maxlen=MOST_TOLD
+            maxlen=MAX_REPORTED
         )
         self._losses: collections.deque[tuple[float, Crash]] = collections.deque()
         self._crashes: dict[Crash, float] = {}
 
     def report(self, *, now: float) -> tuple[Crash, ...]:
-        """Return the crashes that were found here just now."""
-        return tuple(crash for at, crash in self._found if now < at + TOLD_SECONDS)
+        """Return the crashes that this entry has found lately, for its peers."""
+        return tuple(crash for at, crash in self._found if now < at + REPORT_SECONDS)
 
     def note_loss(self, *, crash: Crash, now: float) -> None:
-        """Note a lost answer, which may have been a crash."""
+        """Note a lost answer, which a crash may have caused."""
         self._forget(now)
         self._losses.append((now, crash))
 
     def note_down(self, *, endpoint: str, born: int, now: float) -> None:
-        """Note that a lifetime was found down."""
+        """Note that a lifetime of an endpoint was found down."""
         self._forget(now)
         for _, crash in self._losses:
             if crash.endpoint != endpoint or crash.born != born:
@@ -70,12 +73,12 @@
             self._crashes[crash] = now
 
     def merge(self, *, crashes: tuple[Crash, ...], now: float) -> None:
-        """Take over what another entry found."""
+        """Add the crashes that another entry has found."""
         for crash in crashes:
             self._crashes.setdefault(crash, now)
 
     def is_culprit(self, *, fingerprint: str, now: float) -> bool:
-        """Tell whether a request is kept back."""
+        """Return whether a request is blocked as a query of death."""
         if not self._crashes:
             return False
         self._forget(now)
@@ -84,7 +87,7 @@
             for crash in self._crashes
             if crash.fingerprint == fingerprint
         }
-        return len(hits) >= MOST_CRASHES
+        return len(hits) >= CULPRIT_CRASHES
 
     def _forget(self, now: float) -> None:
         while self._losses and self._losses[0][0] < now - PROOF_SECONDS:
--- a/eelgrassrack/decisions/retries.py
+++ b/eelgrassrack/decisions/retries.py
@@ -1,32 +1,31 @@
-"""Which failed attempts are tried again, and how many of them.
-
-Load pattern: endpoints fail under overload, and every layer tries again, so
-the load triples just when it can't be borne.  Without this module retries
-keep a short overload alive for minutes; and a request that may not be
-repeated, tried again after a timeout, runs twice.
-
-Only the entry retries.  An attempt known not to have started may go to
-another endpoint whatever the request; one that failed or whose outcome is
-unknown only if the request is repeatable.  Nothing is retried once the first
-byte of the answer went to the caller, since a second run would be another
-answer.  All retries draw on a budget that successes fill.
+"""The retry budget: which failed attempts are retried, and how many of them.
+
+Endpoints fail under overload.  If every layer retried, the load would triple just when
+the endpoints can't handle it, and retries would prolong a short overload for minutes.
+A request that may not be repeated could run twice if it were retried after a timeout.
+
+Only the entry retries.  An attempt that is known not to have started may go to another
+endpoint for any request; one that failed or whose outcome is unknown is retried only if
+the request is repeatable.  Nothing is retried after the first byte of the answer was
+sent to the caller, since a second run would produce a different answer.  All retries
+are taken from a budget that successes fill.
 """
 
 import enum
 
 import msgspec
 
-# With this little left to the deadline a retry can't bring a first token:
-# 0.77 s is the target for 95 in 100.
-SHORTEST_WITHIN = 0.77
+# Minimum time to the deadline for a retry: 0.77 s is the target for the first token of
+# 95 in 100 answers, so a later retry wouldn't produce one.
+MIN_REMAINING_SECONDS = 0.77
 
-# The budget holds the retries earned by so many successes at most; more
-# would let an hour of calm pay for a storm.
-MOST_SUCCESSES = 1_000
+# The budget holds at most the retries earned by so many successes; otherwise an hour
+# without failures would allow a retry storm.
+MAX_SUCCESSES = 1_000
 
 
 class Outcome(enum.Enum):
-    """What is known of an attempt that brought no answer."""
+    """The outcome of an attempt that produced no answer."""
 
     NOT_STARTED = "not_started"
     FAILED = "failed"
@@ -34,7 +33,7 @@
 
 
 class GiveUpReason(enum.Enum):
-    """Why an attempt isn't tried again."""
+    """Why an attempt isn't retried."""
 
     FIRST_BYTE_SENT = "first_byte_sent"
     NOT_REPEATABLE = "not_repeatable"
@@ -44,13 +43,13 @@
 
 
 class Retry(msgspec.Struct, kw_only=True, frozen=True):
-    """Try again, with this many seconds left to the deadline."""
+    """Retry, with `within` seconds to the deadline."""
 
     within: float
 
 
 class GiveUp(msgspec.Struct, kw_only=True, frozen=True):
-    """Don't try again."""
+    """Don't retry."""
 
     reason: GiveUpReason
 
@@ -58,8 +57,8 @@
 class RetryBudget:
     """Decide on retries within a budget.
 
-    Each success earns `ratio` retries; `floor` are there from the start,
-    so that an entry that has just started can retry at all.
+    Each success earns `ratio` retries.  The budget begins with `floor` retries, so that
+    an entry that has just started can retry at all.
     """
 
     __slots__ = ("_left", "floor", "ratio")
@@ -75,8 +74,8 @@
         return self._left
 
     def note_success(self) -> None:
-        """Count a whole answer, which earns a part of a retry."""
-        most = max(self.floor, self.ratio * MOST_SUCCESSES)
+        """Count a complete answer, which earns a fraction of a retry."""
+        most = max(self.floor, self.ratio * MAX_SUCCESSES)
         self._left = min(self._left + self.ratio, most)
 
     def judge(
@@ -89,14 +88,17 @@
         most_tries: int,
         within: float,
     ) -> Retry | GiveUp:
-        """Decide whether to try again after `tries` attempts; spend if so."""
+        """Decide whether to retry after `tries` attempts; a retry uses up budget.
+
+        `within` is the seconds to the deadline.
+        """
         if first_byte_sent:
             return GiveUp(reason=GiveUpReason.FIRST_BYTE_SENT)
         if not repeatable and outcome is not Outcome.NOT_STARTED:
             return GiveUp(reason=GiveUpReason.NOT_REPEATABLE)
         if tries >= most_tries:
             return GiveUp(reason=GiveUpReason.TOO_MANY_TRIES)
-        if within < SHORTEST_WITHIN:
+        if within < MIN_REMAINING_SECONDS:
             return GiveUp(reason=GiveUpReason.TOO_LATE)
         if self._left < 1.0:
             return GiveUp(reason=GiveUpReason.BUDGET)
--- a/eelgrassrack/decisions/ring.py
+++ b/eelgrassrack/decisions/ring.py
@@ -1,11 +1,10 @@
-"""A consistent hash ring, which tells the endpoint of a session or prefix.
-
-Load pattern: each request of a session should find the endpoint that holds
-its prompt prefix, while endpoints join and leave.  Without this module a
-remainder of the hash would move nearly all sessions at each change; here
-only those of the endpoint that joined or left move.  Rendezvous hashing
-does the same but looks at each endpoint for each request, which made a choice
-among 400 take more than 100 microseconds.
+"""A consistent hash ring that maps sessions and prompt prefixes to endpoints.
+
+Each request of a session should reach the endpoint that caches its prompt prefix, while
+endpoints join and leave.  The hash modulo the number of endpoints would move nearly all
+sessions at each change; with the ring only the sessions of the endpoint that joined or
+left move.  Rendezvous hashing has the same property, but computes a hash per endpoint
+for each request, which takes more than 100 microseconds with 400 endpoints.
 """
 
 import bisect
@@ -14,9 +13,9 @@
 
 import xxhash
 
-# With this many points each, the shares of 400 endpoints differ by about an
-# eighth (one over the root of the number); more points slow down a change.
-POINTS = 64
+# Points per endpoint.  The shares of 400 endpoints then differ by about an eighth (one
+# over the square root of the number); more points slow down changes of the ring.
+POINTS_PER_NAME = 64
 
 
 class Ring:
@@ -29,7 +28,7 @@
         self._points: list[tuple[int, str]] = []
 
     def add(self, names: Collection[str]) -> None:
-        """Put names on the ring that aren't there yet."""
+        """Add the names that aren't on the ring yet."""
         if self._names.issuperset(names):
             return
         added = set(names) - self._names
@@ -37,18 +36,18 @@
         self._points += [
             (_hash(f"{name}\0{number}"), name)
             for name in added
-            for number in range(POINTS)
+            for number in range(POINTS_PER_NAME)
         ]
         self._points.sort()
 
     def remove(self, name: str) -> None:
-        """Take a name off the ring."""
+        """Remove a name from the ring."""
         if name in self._names:
             self._names.remove(name)
             self._points = [point for point in self._points if point[1] != name]
 
     def walk(self, key: str) -> Iterator[str]:
-        """Yield the names from a key's place on, some more than once."""
+        """Yield names in ring order from the key's position, some more than once."""
         start = bisect.bisect(self._points, (_hash(key), ""))
         indices = itertools.chain(range(start, len(self._points)), range(start))
         return (self._points[index][1] for index in indices)
--- a/eelgrassrack/decisions/rollout.py
+++ b/eelgrassrack/decisions/rollout.py
@@ -1,18 +1,17 @@
-"""How much new work each version of a model gets while it is rolled out.
+"""Canary analysis: the traffic share of each model version during a roll-out.
 
-Load pattern: a version at a tenth of the traffic turns bad: it fails, is
-rated low, or takes far longer.  Without this module it keeps its fixed
-weight until somebody notices, and each tenth answer is bad until then.
+If a version at a tenth of the traffic turns bad (it fails, is rated low, or takes far
+longer), a fixed weight would make every tenth answer bad until somebody notices.
 
-Each version is compared with the other versions of its model by three
-sequential tests: failures, ratings, slow answers.  The module `detection`
-tells how, and why answers of the same time are compared.
+Three sequential tests compare each version with the other versions of its model:
+failures, ratings and slow answers.  The module `detection` describes the tests and why
+they compare answers of the same period.
 
-A suspect version gets a tenth of its share, and all of it again when its
-evidence falls.  A bad one gets none until operators change its weight or
-state.  Nothing here raises a version above its planned weight relative to
-the sound ones.  If every version is bad, all keep their plan: the tests
-then don't tell which is better.
+A suspect version gets a tenth of its share, and the whole share again when its evidence
+falls.  A bad version gets no new requests until operators change its weight or state.
+No version is raised above its planned weight relative to the healthy ones.  If every
+version is bad, all keep their planned weights, since the tests don't tell which one is
+better.
 """
 
 import enum
@@ -26,33 +25,35 @@
 from .detection import Detector, Mean
 from .weights import weigh_exposure
 
-# Thresholds of evidence.  At worst, that is for a version worse by exactly
-# the margin, a test takes it for suspect once in 10 bets and for bad once in
-# 1,000.  For versions that are equal both are far rarer;
-# test/decisions/test_rollout.py measures them.
+# Thresholds of evidence.  In the worst case, a version that is worse by exactly the
+# margin, a test raises a false suspicion once in 10 bets and a false alarm once in
+# 1,000.  Both are far rarer for equal versions; test/decisions/test_rollout.py measures
+# them.
 SUSPECT_EVIDENCE = 10.0
 BAD_EVIDENCE = 1_000.0
 
-# A suspect still gets enough to be cleared or found out.  Where exposure
-# counts more in the policy, less evidence makes a suspect and it gets less.
+# A suspect version still gets enough traffic to be cleared or found bad.  The higher
+# the policy weighs exposure, the less evidence makes a version suspect, and the less
+# traffic it gets.
 SUSPECT_FACTOR = 0.1
 
-# An answer is slow if it takes three times the usual time of the model's
-# fastest version.  A version half as slow again by design then stays below
-# the margin where times spread as usual (log-normal, sigma about 0.6).  The
-# fastest is the measure since the usual time over all versions would follow
-# a version with most of the traffic that turns slow.
+# An answer is slow if it takes three times the usual time of the model's fastest
+# version.  A version that is half as slow again by design then stays below the margin,
+# given the usual spread of times (log-normal, sigma about 0.6).  The fastest version is
+# the reference because the usual time over all versions would follow a version that has
+# most of the traffic and turns slow.  A version must have MIN_TIMED_ANSWERS timed
+# answers to count.
 SLOW_FACTOR = 3.0
-LEAST_TIMED = 10
-SHORTEST_SECONDS = 1e-4
+MIN_TIMED_ANSWERS = 10
+MIN_SECONDS = 1e-4
 
 
-# Without a word from the document all measures count alike.
+# The policy if the document states none: equal weights.
 EVEN = Policy()
 
 
 class Signal(enum.Enum):
-    """What a version is judged by."""
+    """The signals by which versions are compared."""
 
     FAILURES = "failures"
     RATINGS = "ratings"
@@ -60,7 +61,7 @@
 
 
 class Health(enum.Enum):
-    """What the evidence says of a version."""
+    """The health of a version according to the evidence."""
 
     SOUND = "sound"
     SUSPECT = "suspect"
@@ -68,7 +69,7 @@
 
 
 class PlannedVersion(msgspec.Struct, kw_only=True, frozen=True):
-    """A version as the document plans it; `name` is `model/label`."""
+    """A version as planned in the document; `name` is `model/label`."""
 
     name: str
     weight: float
@@ -76,9 +77,10 @@
 
 
 class Sample(msgspec.Struct, kw_only=True, frozen=True):
-    """One answer of a version; `rating` is None if it wasn't rated.
+    """One answer of a version.
 
-    `seconds` is zero for a rating that came after its answer was counted.
+    `rating` is None if the answer wasn't rated, `seconds` is 0 for a rating that came
+    after its answer was counted.
     """
 
     version: str
@@ -88,10 +90,10 @@
 
 
 class Verdict(msgspec.Struct, kw_only=True, frozen=True):
-    """Why a version has the share it has, for operators.
+    """The reason for a version's share, for operators.
 
-    `own_loss` and `others_loss` are mean losses (0 to 1) by the signal
-    with the most evidence; `since` is when the health last changed.
+    `signal` is the one with the most evidence; `own_loss` and `others_loss` are its
+    mean losses (0 to 1).  `since` is the time of the last change of `health`.
     """
 
     version: str
@@ -105,7 +107,7 @@
 
 
 class Record:
-    """What is known of one version."""
+    """The evidence and health of one version."""
 
     __slots__ = ("detectors", "health", "log_seconds", "samples", "since", "weight")
 
@@ -122,7 +124,7 @@
         return max(Signal, key=lambda signal: self.detectors[signal].evidence)
 
     def judge(self, *, now: float, exposure: float) -> None:
-        """Work out the health from the evidence; bad stays bad."""
+        """Update the health from the evidence; a bad version stays bad."""
         evidence = self.detectors[self.find_strongest()].evidence
         health = _find_health(evidence, exposure=exposure)
         if self.health is not Health.BAD and health is not self.health:
@@ -131,7 +133,7 @@
 
 
 class RolloutHealth:
-    """Lower the share of versions that are worse than their peers."""
+    """Lower the shares of versions that are worse than the others of their model."""
 
     __slots__ = ("_exposure", "_models")
 
@@ -144,7 +146,7 @@
         records = self._find_records(version=sample.version)
         own = _find_record(records, version=sample.version)
         own.samples += 1
-        # A bad version is no measure for the others.
+        # The other versions aren't compared with a bad version.
         others = [
             record
             for name, record in records.items()
@@ -166,16 +168,16 @@
         now: float,
         policy: Policy = EVEN,
     ) -> dict[str, float]:
-        """Return the share of new work, adding up to one, of each version.
+        """Return each version's share of new requests; the shares add up to one.
 
-        From here on evidence is judged by the policy's exposure as well.
+        The policy's weight of exposure also applies to evidence from now on.
 
-        A changed weight or state is the operators' word on a suspect or bad
-        version: what was known of it is dropped.  A sound one's record is
-        kept, so that each step of a roll-out is watched from its start.
+        If operators change the weight or state of a suspect or bad version, its record
+        is reset.  The record of a sound version is kept, so that each step of a
+        roll-out is judged from its start.
         """
         self._exposure = weigh_exposure(policy)
-        active = [planned for planned in versions if self._heed(planned, now=now)]
+        active = [planned for planned in versions if self._apply_plan(planned, now=now)]
         lowered = {
             planned.name: planned.weight * self._find_factor(planned.name)
             for planned in active
@@ -186,7 +188,7 @@
         return {name: weight / total for name, weight in lowered.items()}
 
     def explain(self, *, version: str) -> Verdict:
-        """Return what the evidence says of a version."""
+        """Return the health of a version and the evidence for it."""
         records = self._find_records(version=version)
         record = records.get(version) or Record()
         signal = record.find_strongest()
@@ -203,11 +205,11 @@
         )
 
     def forget(self, *, version: str) -> None:
-        """Drop what is known of a version that the document no longer has."""
+        """Delete the record of a version that the document no longer has."""
         self._find_records(version=version).pop(version, None)
 
-    def _heed(self, planned: PlannedVersion, *, now: float) -> bool:
-        """Take over the plan; return whether the version may have a share."""
+    def _apply_plan(self, planned: PlannedVersion, *, now: float) -> bool:
+        """Apply a version's plan; return whether the version may have a share."""
         records = self._find_records(version=planned.name)
         weight = planned.weight if planned.active else 0.0
         record = _find_record(records, version=planned.name)
@@ -232,7 +234,10 @@
 
 
 def choose_version(*, shares: Mapping[str, float], chance: float) -> str | None:
-    """Draw a version by its share; None if there is none."""
+    """Draw a version in proportion to the shares; return None if there are none.
+
+    `chance` is a random number in [0, 1).
+    """
     if not shares:
         return None
     bounds = itertools.accumulate(shares.values())
@@ -241,7 +246,7 @@
         for (name, share), bound in zip(shares.items(), bounds, strict=True)
         if share > 0 and chance < bound
     )
-    # The shares may add up to a little less than one by rounding.
+    # Due to rounding the shares may add up to slightly less than one.
     last = next(name for name in reversed(shares) if shares[name] > 0)
     return next(drawn, last)
 
@@ -267,22 +272,23 @@
 def _find_losses(
     *, sample: Sample, records: Mapping[str, Record]
 ) -> Iterable[tuple[Signal, float]]:
-    """Yield the losses of an answer by signal."""
+    """Yield the signals of an answer with their losses (0 to 1)."""
     if sample.failed or sample.seconds > 0:
         yield Signal.FAILURES, float(sample.failed)
     if sample.failed:
         return
     if sample.rating is not None and 0.0 <= sample.rating <= 1.0:
         yield Signal.RATINGS, 1.0 - sample.rating
-    # A rating alone has no time: counted as one it would pull the usual time
-    # towards zero, until every answer looked slow and no version stood out.
+    # A sample that is only a rating has no time.  Counted as zero seconds, it would
+    # pull the mean time towards zero, until all answers looked slow and no version
+    # stood out.
     if sample.seconds <= 0:
         return
     usual = min(
         (
             record.log_seconds.value
             for record in records.values()
-            if record.log_seconds.samples >= LEAST_TIMED
+            if record.log_seconds.samples >= MIN_TIMED_ANSWERS
         ),
         default=math.inf,
     )
@@ -291,4 +297,4 @@
 
 
 def _log(seconds: float) -> float:
-    return math.log(max(seconds, SHORTEST_SECONDS))
+    return math.log(max(seconds, MIN_SECONDS))
--- a/test/decisions/test_pace.py
+++ b/test/decisions/test_pace.py
@@ -1,4 +1,4 @@
-"""Tests of how fast models are taken to read and to write."""
+"""Tests of the estimates of how fast models read prompts and generate answers."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 from eelgrassrack.decisions.pace import Pace
 
-# What an engine takes before the first token, and per token read, by model.
+# Seconds that an engine takes before the first token, and per token read by a model.
 BASE = 0.048
 TRUE_PACES = {"small": 0.0065e-3, "large": 0.028e-3}
 COSTS = {"small": 1.0, "large": 14.4}
@@ -15,12 +15,12 @@
 
 
 def teach(pace, model, *, count, prompts=PROMPTS, seed=1, queue=0.0):
-    """Show answers of idle engines, a few of them held up by unseen work."""
-    luck = random.Random(seed)
+    """Note answers of idle engines, a few of them delayed by unknown requests."""
+    rng = random.Random(seed)
     for _ in range(count):
-        tokens = int(luck.choice(prompts) * luck.uniform(0.7, 1.3))
-        held_up = luck.expovariate(1 / queue) if queue and luck.random() < 0.2 else 0.0
-        seconds = BASE + TRUE_PACES[model] * tokens + held_up
+        tokens = int(rng.choice(prompts) * rng.uniform(0.7, 1.3))
+        delay = rng.expovariate(1 / queue) if queue and rng.random() < 0.2 else 0.0
+        seconds = BASE + TRUE_PACES[model] * tokens + delay
         pace.note(model=model, cost=COSTS[model], tokens=tokens, seconds=seconds)
 
 
@@ -37,7 +37,7 @@
 
 
 def test_a_pace_is_never_negative():
-    """Short prompts were held up, long ones weren't."""
+    """Short prompts were delayed, long ones weren't."""
     pace = Pace()
     for _ in range(100):
         pace.note(model="small", cost=1.0, tokens=500, seconds=1.0)
@@ -57,7 +57,8 @@
 def test_an_entry_that_has_just_started_soon_knows_a_fast_engine():
     """An entry starts under load, and engines are four times as fast as guessed.
 
-    Until it knows, long prompts seem to leave no time to ask a cheap model first.
+    Until it has learned that, long prompts seem to leave no time for asking a cheap
+    model first.
     """
     pace = Pace()
     guess = estimate(pace, "large", 20_000)
--- a/test/decisions/test_pins.py
+++ b/test/decisions/test_pins.py
@@ -1,4 +1,4 @@
-"""Tests of the session's version."""
+"""Tests of session pinning."""
 
 from eelgrassrack.decisions.pins import (
     Choose,
@@ -16,9 +16,10 @@
 
 
 def test_session_keeps_its_version_or_is_refused():
-    """A version is withdrawn while a conversation is under way.
+    """A version is withdrawn during a conversation.
 
-    Moved to another version silently, the answers would contradict.
+    If the session moved silently to another version, its answers might contradict each
+    other.
     """
     assert judge(Unpinned(), active={"m/1"}) == Choose()
     pin = Pinned(version="m/1")
--- a/test/decisions/test_placement.py
+++ b/test/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of endpoints."""
+"""Tests of load balancing between endpoints."""
 
 import collections
 import random
@@ -19,32 +19,32 @@
     ]
 
 
-def pick(placement, candidates, *, dice, affinity=None, now=0.0):
+def pick(placement, candidates, *, rng, affinity=None, now=0.0):
     return placement.choose(
         candidates=candidates,
         affinity=affinity,
-        chances=(dice.random(), dice.random()),
+        chances=(rng.random(), rng.random()),
         now=now,
     )
 
 
 def test_no_candidate_says_why():
     placement = Placement(domain="d0")
-    dice = random.Random(1)
+    rng = random.Random(1)
     for candidates, reason in [
         ([], NoCandidateReason.NONE_KNOWN),
         (make(2, draining=True), NoCandidateReason.DRAINING),
         (make(2, engine_up=False), NoCandidateReason.ENGINE_DOWN),
     ]:
-        assert pick(placement, candidates, dice=dice) == NoCandidate(reason=reason)
+        assert pick(placement, candidates, rng=rng) == NoCandidate(reason=reason)
 
 
 def test_idle_report_does_not_draw_everything():
     """Reports lag: one endpoint looks idle for a second, the others half full.
 
-    By report alone every request of that second would go to it.
+    By the reports alone every request of that second would go to it.
     """
-    dice = random.Random(1)
+    rng = random.Random(1)
     placement = Placement(domain="d0")
     busy = [
         Candidate(name=f"e{number}", domain="d0", running=8, window=16)
@@ -53,32 +53,32 @@
     idle = Candidate(name="e0", domain="d0", window=16)
     counts = collections.Counter()
     for _ in range(100):
-        chosen = pick(placement, [idle, *busy], dice=dice)
+        chosen = pick(placement, [idle, *busy], rng=rng)
         placement.note_sent(endpoint=chosen.name)
         counts[chosen.name] += 1
     assert counts["e0"] < 25
 
 
 def test_cold_endpoint_gets_little():
-    dice = random.Random(1)
+    rng = random.Random(1)
     placement = Placement(domain="d0")
     cold = Candidate(name="cold", domain="d0", window=2)
     counts = collections.Counter()
     for _ in range(60):
-        chosen = pick(placement, [cold, *make(7)], dice=dice)
+        chosen = pick(placement, [cold, *make(7)], rng=rng)
         placement.note_sent(endpoint=chosen.name)
         counts[chosen.name] += 1
     assert counts["cold"] <= 2
 
 
 def test_near_first_until_full():
-    dice = random.Random(1)
+    rng = random.Random(1)
     placement = Placement(domain="d0")
     near = make(2, window=4)
     far = [Candidate(name="far", domain="d1", window=4)]
     chosen = []
     for _ in range(12):
-        one = pick(placement, near + far, dice=dice)
+        one = pick(placement, near + far, rng=rng)
         placement.note_sent(endpoint=one.name)
         chosen.append(one.domain)
     assert chosen[:6] == ["d0"] * 6
@@ -86,20 +86,20 @@
 
 
 def test_affinity_holds_until_the_endpoint_is_hot():
-    """One prefix takes most of the traffic; its endpoint must not drown."""
-    dice = random.Random(1)
+    """One prefix has most of the traffic; its endpoint must not be overloaded."""
+    rng = random.Random(1)
     placement = Placement(domain="d0")
     candidates = make(8, window=8)
-    calm = {pick(placement, candidates, dice=dice, affinity="s").name for _ in range(9)}
+    calm = {pick(placement, candidates, rng=rng, affinity="s").name for _ in range(9)}
     assert len(calm) == 1
     counts = collections.Counter()
     for _ in range(40):
-        chosen = pick(placement, candidates, dice=dice, affinity="s")
+        chosen = pick(placement, candidates, rng=rng, affinity="s")
         placement.note_sent(endpoint=chosen.name)
         counts[chosen.name] += 1
     assert max(counts.values()) <= 12
     spread = {
-        pick(Placement(domain="d0"), candidates, dice=dice, affinity=f"s{n}").name
+        pick(Placement(domain="d0"), candidates, rng=rng, affinity=f"s{n}").name
         for n in range(100)
     }
     assert len(spread) == 8
@@ -115,50 +115,51 @@
 
 def test_slow_endpoint_is_ejected_and_tried_again_gently():
     """One endpoint of eight takes ten times as long as the others."""
-    dice = random.Random(1)
+    rng = random.Random(1)
     placement = Placement(domain="d0")
     candidates = make(8)
     for _ in range(30):
         for one in candidates[1:]:
             finish(placement, one.name, now=0.0)
     finish(placement, "e0", now=0.0, seconds=5.0, times=8)
-    chosen = {pick(placement, candidates, dice=dice, now=1.0).name for _ in range(99)}
+    chosen = {pick(placement, candidates, rng=rng, now=1.0).name for _ in range(99)}
     assert "e0" not in chosen
     assert len(chosen) == 7
     # After the ejection it gets one request at a time.
-    chosen = {pick(placement, candidates, dice=dice, now=6.0).name for _ in range(99)}
+    chosen = {pick(placement, candidates, rng=rng, now=6.0).name for _ in range(99)}
     assert "e0" in chosen
     busy = [Candidate(name="e0", domain="d0", window=16, local=1), *candidates[1:]]
-    chosen = {pick(placement, busy, dice=dice, now=6.0).name for _ in range(99)}
+    chosen = {pick(placement, busy, rng=rng, now=6.0).name for _ in range(99)}
     assert "e0" not in chosen
-    # Still slow on trial, it is out for longer; sound again, it is back.
+    # If it is still slow on trial it is ejected for longer; if it has recovered it is
+    # used again.
     finish(placement, "e0", now=6.0, seconds=5.0, times=3)
     assert placement.is_ejected(endpoint="e0", now=12.0)
     finish(placement, "e0", now=20.0, times=3)
     busy = make(8, local=1)
-    chosen = {pick(placement, busy, dice=dice, now=20.0).name for _ in range(99)}
+    chosen = {pick(placement, busy, rng=rng, now=20.0).name for _ in range(99)}
     assert "e0" in chosen
 
 
 def test_failing_endpoint_is_ejected_but_never_all():
-    """A failing endpoint looks idle and would draw the whole load.
+    """A failing endpoint looks idle and would attract the whole load.
 
-    When all fail the cause is elsewhere, and ejecting them leaves none.
+    If all endpoints fail, the cause is elsewhere, and ejection would leave none.
     """
-    dice = random.Random(1)
+    rng = random.Random(1)
     placement = Placement(domain="d0")
     candidates = make(4)
     finish(placement, "e0", now=0.0, succeeded=False, times=3)
-    chosen = {pick(placement, candidates, dice=dice, now=1.0).name for _ in range(99)}
+    chosen = {pick(placement, candidates, rng=rng, now=1.0).name for _ in range(99)}
     assert chosen == {"e1", "e2", "e3"}
     for one in candidates:
         finish(placement, one.name, now=1.0, succeeded=False, times=3)
-    chosen = {pick(placement, candidates, dice=dice, now=1.5).name for _ in range(99)}
+    chosen = {pick(placement, candidates, rng=rng, now=1.5).name for _ in range(99)}
     assert len(chosen) == 4
 
 
 def test_subset_is_stable_spread_and_near_first():
-    """An endpoint joins or leaves; entries must not lose their warm ones."""
+    """If an endpoint joins or leaves, entries must keep their other endpoints."""
     names = {f"d{d}": [f"d{d}e{n}" for n in range(30)] for d in range(4)}
     counts = collections.Counter()
     for entry in range(200):
--- a/test/decisions/test_precedence.py
+++ b/test/decisions/test_precedence.py
@@ -1,4 +1,4 @@
-"""Tests of which entries have a place where there are too few for all."""
+"""Tests of which entries may use an endpoint that can't serve all of them."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,10 +11,10 @@
 )
 
 
-@given(entries=ENTRIES, places=st.integers(1, 10), data=st.data())
-def test_no_more_take_a_place_than_there_are(entries, places, data):
-    """Entries that have just started don't know yet where the others lie."""
-    taken = 0
+@given(entries=ENTRIES, limit=st.integers(1, 10), data=st.data())
+def test_no_more_entries_use_an_endpoint_than_allowed(entries, limit, data):
+    """Entries that have just started don't know the others' failure domains yet."""
+    allowed = 0
     for own in entries:
         others = [
             one if data.draw(st.booleans()) else Sharer(one.name, "")
@@ -22,14 +22,14 @@
             if one is not own
         ]
         before = count_before(own=own, others=others, key="1", domain="north")
-        taken += before < places
-    assert taken <= places
+        allowed += before < limit
+    assert allowed <= limit
 
 
-@given(entries=ENTRIES, places=st.integers(1, 10))
-def test_all_places_are_taken_by_those_of_the_domain_first(entries, places):
-    """Bytes between failure domains are paid for."""
-    taken = [
+@given(entries=ENTRIES, limit=st.integers(1, 10))
+def test_entries_of_the_same_domain_come_first(entries, limit):
+    """Bytes between failure domains cost money."""
+    allowed = [
         own
         for own in entries
         if count_before(
@@ -38,8 +38,8 @@
             key="1",
             domain="north",
         )
-        < places
+        < limit
     ]
     near = [one for one in entries if one.domain == "north"]
-    assert len(taken) == min(places, len(entries))
-    assert sum(one.domain == "north" for one in taken) == min(places, len(near))
+    assert len(allowed) == min(limit, len(entries))
+    assert sum(one.domain == "north" for one in allowed) == min(limit, len(near))
--- a/test/decisions/test_quarantine.py
+++ b/test/decisions/test_quarantine.py
@@ -1,10 +1,10 @@
-"""Tests of the quarantine, by example and against whole pools."""
+"""Tests of the quarantine, by example and with random batches."""
 
 import hypothesis.strategies as st
 from hypothesis import given, settings
 
 from eelgrassrack.decisions.quarantine import (
-    MERGE_GRACE,
+    MERGE_GRACE_SECONDS,
     QUARANTINE_SECONDS,
     SUSPECT_SECONDS,
     Clear,
@@ -28,7 +28,7 @@
 def test_second_crash_quarantines():
     """A request crashes an endpoint, and its caller sends it again.
 
-    Nothing tells yet which one of the batch it was.
+    It isn't known yet which request of the batch caused the crash.
     """
     quarantine = Quarantine()
     assert crash(quarantine, "e1", "bad", "good", "") == ()
@@ -36,8 +36,8 @@
     assert judge(quarantine, "other") == judge(quarantine, "") == Clear()
     quarantine.note_cleared(fingerprint="good")
     assert judge(quarantine, "good") == Clear()
-    # The same crash told twice, or the same endpoint failing on its own
-    # again, isn't a second endpoint.
+    # The same crash noted twice, or another crash of the same endpoint, doesn't count
+    # as a second endpoint.
     assert crash(quarantine, "e1", "bad", now=1.0) == ()
     assert crash(quarantine, "e2", "bad", "good", now=2.0) == ("bad",)
     assert isinstance(judge(quarantine, "bad", now=2.0), Quarantined)
@@ -63,15 +63,16 @@
 
 
 def test_quarantine_ends_everywhere():
-    """Two entries tell each other what they have quarantined, for ever.
+    """Two entries keep exchanging their quarantines.
 
-    An ended quarantine handed back by a slower peer would never end.
+    If a quarantine that has ended could be merged from a slower peer, it would never
+    end.
     """
     first, second = Quarantine(), Quarantine()
     crash(first, "e1", "bad", alone=True)
     second.merge(fingerprints=first.fingerprints, now=5.0)
     assert second.fingerprints == ("bad",)
-    for now in range(0, int(QUARANTINE_SECONDS + MERGE_GRACE), 5):
+    for now in range(0, int(QUARANTINE_SECONDS + MERGE_GRACE_SECONDS), 5):
         first.merge(fingerprints=second.fingerprints, now=float(now))
         second.merge(fingerprints=first.fingerprints, now=float(now + 5))
     assert first.fingerprints == second.fingerprints == ()
--- a/test/decisions/test_retries.py
+++ b/test/decisions/test_retries.py
@@ -26,7 +26,7 @@
 
 
 def test_retries_stay_within_a_part_of_the_successes():
-    """Half of all attempts fail for a long while.
+    """Half of all attempts fail for a long time.
 
     Without a budget the retries would add half of the load again.
     """
@@ -39,7 +39,7 @@
     assert judge(budget) == GiveUp(reason=GiveUpReason.BUDGET)
 
 
-def test_calm_does_not_pay_for_a_storm():
+def test_long_success_does_not_allow_a_retry_storm():
     budget = RetryBudget(ratio=0.1, floor=10.0)
     for _ in range(100_000):
         budget.note_success()
@@ -47,10 +47,10 @@
     assert retried == 100
 
 
-def test_what_may_not_be_repeated_runs_once():
-    """A credential issue times out; whether it ran is unknown.
+def test_unrepeatable_requests_run_once():
+    """A request for a credential times out, and it is unknown whether it ran.
 
-    Tried again, it could yield two certificates.
+    A retry could issue two certificates.
     """
     budget = RetryBudget(ratio=0.1, floor=100.0)
     for outcome, sent in itertools.product(Outcome, [False, True]):
--- a/test/decisions/test_ring.py
+++ b/test/decisions/test_ring.py
@@ -12,7 +12,7 @@
 
 
 def test_only_the_leaving_endpoints_sessions_move():
-    """An endpoint leaves; all other sessions must keep their cached prefixes."""
+    """If an endpoint leaves, the sessions of all others keep their endpoints."""
     ring = Ring()
     ring.add(NAMES)
     before = find(ring)
--- a/test/decisions/test_rollout.py
+++ b/test/decisions/test_rollout.py
@@ -1,4 +1,4 @@
-"""Tests of the roll-out's health: noise, and versions that turn bad."""
+"""Tests of canary analysis: false alarms, and versions that turn bad."""
 
 import collections
 import random
@@ -24,34 +24,34 @@
 )
 
 
-def make_sample(version, dice, *, fails=0.02, rating=0.8, slower=1.0):
-    rated = min(max(dice.gauss(rating, 0.15), 0.0), 1.0)
+def make_sample(version, rng, *, fails=0.02, rating=0.8, slower=1.0):
+    rated = min(max(rng.gauss(rating, 0.15), 0.0), 1.0)
     return Sample(
         version=version,
-        failed=dice.random() < fails,
-        rating=rated if dice.random() < 0.5 else None,
-        seconds=dice.lognormvariate(0.0, 0.6) * slower,
+        failed=rng.random() < fails,
+        rating=rated if rng.random() < 0.5 else None,
+        seconds=rng.lognormvariate(0.0, 0.6) * slower,
     )
 
 
-def run(health, dice, *, count, start=0, turned=NEW, policy=EVEN, **bad):
-    """Send requests by share and return how many each version got."""
+def run(health, rng, *, count, start=0, turned=NEW, policy=EVEN, **bad):
+    """Send requests by the versions' shares and return how many each version got."""
     counts = collections.Counter()
     for number in range(start, start + count):
         shares = health.find_shares(versions=PLAN, now=float(number), policy=policy)
-        version = choose_version(shares=shares, chance=dice.random())
+        version = choose_version(shares=shares, chance=rng.random())
         counts[version] += 1
         how = bad if version == turned else {}
-        sample = make_sample(version, dice, **how)
+        sample = make_sample(version, rng, **how)
         health.note(sample=sample, now=float(number))
     return counts
 
 
-def test_noise_trips_nothing():
-    """Both versions are equal; a false alarm would stop a sound roll-out.
+def test_noise_raises_no_alarm():
+    """Both versions are equal, and a false alarm would stop a healthy roll-out.
 
-    In 50 runs of 2,000 answers not one version is taken for bad, and the
-    new one gets its planned share.
+    In 50 runs of 2,000 answers no version is found bad, and the new one gets its
+    planned share.
     """
     bad, got = 0, []
     for seed in range(50):
@@ -78,9 +78,9 @@
     """
     got = []
     for seed in range(20):
-        health, dice = RolloutHealth(), random.Random(seed)
-        run(health, dice, count=1_000)
-        got.append(run(health, dice, count=2_000, start=1_000, **change)[NEW])
+        health, rng = RolloutHealth(), random.Random(seed)
+        run(health, rng, count=1_000)
+        got.append(run(health, rng, count=2_000, start=1_000, **change)[NEW])
         verdict = health.explain(version=NEW)
         assert verdict.health is not Health.SOUND
         assert verdict.signal is signal
@@ -89,24 +89,24 @@
         assert health.explain(version=OLD).health is Health.SOUND
     assert sum(got) / len(got) < mean
     assert max(got) < most
-    # It is suspect by now, and given more time it is stopped for good.
-    run(health, dice, count=10_000, start=3_000, **change)
+    # It is suspect at this point; with more answers it is found bad.
+    run(health, rng, count=10_000, start=3_000, **change)
     assert health.explain(version=NEW).health is Health.BAD
 
 
-def test_ratings_that_come_later_hide_no_slow_version():
-    """A version turns slow; ratings of some answers come after them.
+def test_late_ratings_do_not_hide_a_slow_version():
+    """A version turns slow, and the ratings of some answers come after the answers.
 
-    Counted as answers of no time they would make all others look slow.
+    If the ratings counted as answers that took no time, all others would look slow.
     """
-    health, dice = RolloutHealth(), random.Random(3)
+    health, rng = RolloutHealth(), random.Random(3)
     got = collections.Counter()
     for number in range(2_000):
         shares = health.find_shares(versions=PLAN, now=0.0)
-        version = choose_version(shares=shares, chance=dice.random())
+        version = choose_version(shares=shares, chance=rng.random())
         got[version] += 1
         slower = 6.0 if version == NEW and number > 500 else 1.0
-        answer = make_sample(version, dice, slower=slower)
+        answer = make_sample(version, rng, slower=slower)
         health.note(sample=msgspec.structs.replace(answer, rating=None), now=0.0)
         if answer.rating is not None:
             rating = Sample(
@@ -120,22 +120,22 @@
     assert verdict.others_loss < 0.2
 
 
-def test_exposure_that_counts_more_lowers_a_share_sooner():
-    """The same bad version under the policies of the two users."""
+def test_more_weight_of_exposure_lowers_a_share_sooner():
+    """The same bad version under two policies."""
     got = {}
     for exposure in (0.5, 3.0):
         policy = Policy(exposure=exposure)
-        health, dice = RolloutHealth(), random.Random(4)
-        run(health, dice, count=500, policy=policy)
-        got[exposure] = run(health, dice, count=1_000, rating=0.4, policy=policy)[NEW]
+        health, rng = RolloutHealth(), random.Random(4)
+        run(health, rng, count=500, policy=policy)
+        got[exposure] = run(health, rng, count=1_000, rating=0.4, policy=policy)[NEW]
     assert got[3.0] < got[0.5] < 100
 
 
 def test_version_with_most_of_the_traffic_turns_slow():
-    """The old version becomes slow; it must not become the measure."""
-    health, dice = RolloutHealth(), random.Random(1)
-    run(health, dice, count=1_000)
-    counts = run(health, dice, count=2_000, start=1_000, turned=OLD, slower=6.0)
+    """The old version becomes slow; it must not become the reference."""
+    health, rng = RolloutHealth(), random.Random(1)
+    run(health, rng, count=1_000)
+    counts = run(health, rng, count=2_000, start=1_000, turned=OLD, slower=6.0)
     assert counts[OLD] < 600
     assert health.explain(version=OLD).signal is Signal.SECONDS
     assert health.explain(version=NEW).health is Health.SOUND
@@ -150,9 +150,9 @@
 
 
 def test_only_operators_bring_a_bad_version_back():
-    health, dice = RolloutHealth(), random.Random(1)
-    run(health, dice, count=500)
-    run(health, dice, count=2_000, fails=1.0)
+    health, rng = RolloutHealth(), random.Random(1)
+    run(health, rng, count=500)
+    run(health, rng, count=2_000, fails=1.0)
     assert health.find_shares(versions=PLAN, now=9.0) == {OLD: 1.0, NEW: 0.0}
     changed = (PLAN[0], PlannedVersion(name=NEW, weight=5.0, active=True))
     shares = health.find_shares(versions=changed, now=9.0)
@@ -160,12 +160,12 @@
 
 
 def test_cause_shared_by_all_versions_lowers_none():
-    """The engines' network fails; both versions fail alike."""
-    health, dice = RolloutHealth(), random.Random(2)
+    """The engines' network fails, so both versions fail alike."""
+    health, rng = RolloutHealth(), random.Random(2)
     for number in range(600):
         version = (OLD, NEW)[number % 2]
         fails = 0.7 if number > 300 else 0.02
-        health.note(sample=make_sample(version, dice, fails=fails), now=0.0)
+        health.note(sample=make_sample(version, rng, fails=fails), now=0.0)
     shares = health.find_shares(versions=PLAN, now=0.0)
     assert shares[NEW] >= 0.02
     assert sum(shares.values()) == pytest.approx(1.0)
