--- a/eelgrassrack/decisions/sampling.py
+++ b/eelgrassrack/decisions/sampling.py
@@ -1,11 +1,11 @@
-"""Which delivered answers are rated afterwards, to watch a roll-out.
+"""Sampling of delivered answers for rating, to monitor a roll-out.
 
-Load pattern: a version at a tenth of the traffic turns bad, and only one
-answer in five may be rated.  Without this module one in fifty answers is a
-rated one of that version, and hundreds of bad ones are delivered before the
-evidence is there.  Versions are compared pair by pair, so ratings are worth
-most if each version has as many: all answers of a rare version are rated,
-fewer of a frequent one, and the rating service gets no more than before.
+A version at a tenth of the traffic may turn bad while only one answer in five may be
+rated.  With uniform sampling, one answer in fifty would be a rated one of that version,
+and hundreds of bad answers would be delivered before there was enough evidence.
+Versions are compared pair by pair, so ratings are most useful if all versions have
+equally many.  More answers of a rare version are therefore rated, up to all of them,
+and fewer of a frequent one; the load of the rating service stays the same.
 """
 
 from collections.abc import Mapping
@@ -14,14 +14,14 @@
 def find_sample_share(
     *, version: str, shares: Mapping[str, float], budget: float
 ) -> float:
-    """Return the part of a version's answers to rate.
+    """Return the share of a version's answers to rate.
 
-    `shares` are those of the new work, `budget` is the part of all answers
-    that may be rated.
+    `shares` are the versions' shares of new requests, `budget` is the share of all
+    answers that may be rated.
     """
-    used = [share for share in shares.values() if share > 0]
+    active = [share for share in shares.values() if share > 0]
     share = shares.get(version, 0.0)
     if share <= 0:
-        # An answer of a session whose version gets no new work any more.
+        # The answer belongs to a session whose version gets no new requests any more.
         return budget
-    return min(budget / (len(used) * share), 1.0)
+    return min(budget / (len(active) * share), 1.0)
--- a/eelgrassrack/decisions/slowness.py
+++ b/eelgrassrack/decisions/slowness.py
@@ -1,15 +1,15 @@
-"""Which endpoints take far longer than others for the same work.
-
-Load pattern: some of a service's endpoints turn four times as slow for some
-seconds, and answer everything well.  Weighed by what they have to do, as the
-others are, they get their full share of requests, and all of these are late:
-an eighth of the endpoints makes an eighth of all callers wait.
-
-Each answer tells how long its first piece took against what was expected.  One
-answer says little, since prompts differ and expectations are rough; what all
-entries saw of an endpoint within the last seconds says enough.  It is compared
-with the other endpoints of its service, since a fault of the expectation, or of
-the path, meets them all.
+"""Outlier detection by latency: endpoints that take far longer for the same work.
+
+Some endpoints of a service may become four times as slow for some seconds while they
+answer everything correctly.  If they were compared only by their backlog they would get
+their full share of requests, all of them late: an eighth of the endpoints would delay
+an eighth of all callers.
+
+Each answer yields the ratio of the measured to the expected time of its first piece.  A
+single answer tells little, because prompts differ and estimates are rough, but the
+answers that all entries received from an endpoint in the last seconds tell enough.  An
+endpoint is compared with the others of its service, since a wrong estimate or a slow
+network path affects them all.
 """
 
 import math
@@ -18,66 +18,66 @@
 
 import msgspec
 
-# Seconds after which an answer counts half: slow phases last some seconds, and
-# an endpoint that is fast again should get its share back soon.
-HALF_LIFE = 1.0
+# Half-life of an answer's weight: slow phases last some seconds, and an endpoint that
+# is fast again should soon get its share back.
+HALF_LIFE_SECONDS = 1.0
 
-# One answer counts up to e times too fast and e^2.5, twelve times, too slow, so
-# that none decides alone.
-FASTEST = -1.0
-SLOWEST = 2.5
+# Bounds of an answer's logarithmic ratio, so that no single answer decides: e times too
+# fast, and e^2.5 (twelve) times too slow.
+MIN_LOG_RATIO = -1.0
+MAX_LOG_RATIO = 2.5
 
-# Answers that speak for an endpoint as usual before any was seen.
-PRIOR = 1.0
+# Weight, in answers, of the prior assumption that an endpoint is as fast as usual.
+PRIOR_ANSWERS = 1.0
 
-# With fewer answers an endpoint isn't judged, nor with fewer endpoints beside.
-LEAST_ANSWERS = 2.0
-LEAST_ENDPOINTS = 3
+# Minimum number of answers of an endpoint, and of such endpoints, for a comparison.
+MIN_ANSWERS = 2.0
+MIN_ENDPOINTS = 3
 
-# From this factor on an endpoint counts as slow.  With a dozen answers each the
-# means of sound ones lie within 1.5 of each other.
-LEAST_FACTOR = 1.8
+# Minimum factor at which an endpoint counts as slow.  With a dozen answers each, the
+# means of healthy endpoints differ by a factor of up to 1.5.
+SLOW_FACTOR = 1.8
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Answers of an endpoint, and the sum of their logarithms of slowness."""
+    """The weight of an endpoint's answers, and the sum of their logarithmic ratios."""
 
     answers: float = 0.0
     total: float = 0.0
 
     def __add__(self, other: "Timing") -> "Timing":
-        """Return what both saw."""
+        """Return the sum of both timings."""
         return Timing(self.answers + other.answers, self.total + other.total)
 
     def fade(self, seconds: float) -> "Timing":
-        """Return what is left of it after so many seconds."""
-        part = 0.5 ** (seconds / HALF_LIFE)
+        """Return the timing with its weight decayed by `seconds`."""
+        part = 0.5 ** (seconds / HALF_LIFE_SECONDS)
         return Timing(self.answers * part, self.total * part)
 
     def note(self, *, seen: float, expected: float) -> "Timing":
-        """Return it with one more answer; both times are seconds."""
+        """Return the timing with one more answer; both times are in seconds."""
         ratio = math.log(max(seen, 1e-3) / max(expected, 1e-3))
-        ratio = min(max(ratio, FASTEST), SLOWEST)
+        ratio = min(max(ratio, MIN_LOG_RATIO), MAX_LOG_RATIO)
         return Timing(self.answers + 1.0, self.total + ratio)
 
     @property
     def mean(self) -> float:
-        """Return the mean logarithm, drawn towards the usual by few answers."""
-        return self.total / (self.answers + PRIOR)
+        """Return the mean logarithmic ratio, which is near zero for few answers."""
+        return self.total / (self.answers + PRIOR_ANSWERS)
 
 
 def find_slow(timings: Mapping[str, Timing]) -> dict[str, float]:
-    """Return how many times as slow as the others an endpoint is, if it is.
+    """Return the slow endpoints with their slowness relative to the others.
 
-    `timings` holds those of one service's endpoints.
+    `timings` holds the timings of one service's endpoints by name.
     """
-    judged = {
+    measured = {
         name: timing
         for name, timing in timings.items()
-        if timing.answers >= LEAST_ANSWERS
+        if timing.answers >= MIN_ANSWERS
     }
-    if len(judged) < LEAST_ENDPOINTS:
+    if len(measured) < MIN_ENDPOINTS:
         return {}
-    usual = statistics.median(timing.mean for timing in judged.values())
-    factors = {name: math.exp(timing.mean - usual) for name, timing in judged.items()}
-    return {name: one for name, one in factors.items() if one >= LEAST_FACTOR}
+    usual = statistics.median(timing.mean for timing in measured.values())
+    factors = {name: math.exp(timing.mean - usual) for name, timing in measured.items()}
+    return {name: factor for name, factor in factors.items() if factor >= SLOW_FACTOR}
--- a/eelgrassrack/decisions/sources.py
+++ b/eelgrassrack/decisions/sources.py
@@ -1,14 +1,13 @@
-"""Which peer is asked for what changed at the platform's store.
+"""The choice of a peer from which an entry fetches changes of the platform's store.
 
-Load pattern: a few entries watch the store, and each change sends all others to
-them at once.  All asking the same one, on a link of 5 Mbit/s, the last of twenty
-has a new configuration after seconds, and serves callers by the old one until
-then.
+A few entries watch the store, and each change makes all others fetch from them at once.
+If all twenty asked the same one on a link of 5 Mbit/s, the last would get a new
+configuration only after seconds, and serve callers by the old one until then.
 
-Each asks a different one of those that know enough, one of its own failure
-domain first, since bytes between domains are paid for.  A configuration says
-itself which is newer, so anyone that has it may be asked for it; what is known
-of endpoints is only good from one that hears the store.
+Each entry therefore asks a different one of the peers that know enough, preferably one
+of its own failure domain, since bytes between domains cost money.  A configuration has
+a version, so any peer that has the newest may be asked for it.  The state of endpoints
+is reliable only from a peer that reaches the store.
 """
 
 from collections.abc import Iterable
@@ -18,10 +17,11 @@
 
 
 class Source(msgspec.Struct, kw_only=True, frozen=True):
-    """A peer, by its last news.
+    """A peer as of its latest update.
 
-    `revisions` are those of the last changes that it knows of endpoints,
-    roll-outs and failure domains.
+    `configuration` is the version of its configuration, 0 if it has none.
+    `knows_store` says that it reaches the store; `revisions` are the latest store
+    revisions that it knows of endpoints, roll-outs and failure domains.
     """
 
     name: str
@@ -34,22 +34,23 @@
 def rank_sources(
     sources: Iterable[Source], *, revisions: tuple[int, ...], spread: str
 ) -> list[str]:
-    """Return the peers' names in the order in which they are asked.
+    """Return the peers' names in the order in which to ask them.
 
-    `revisions` are those known here; `spread` is this entry's name.
+    `revisions` are those that this entry knows; `spread`, its name, makes different
+    entries prefer different peers.
     """
-    usable = [one for one in sources if one.configuration]
-    lacks_more = any(
-        one.knows_store and _is_newer(one.revisions, revisions) for one in usable
+    usable = [peer for peer in sources if peer.configuration]
+    is_behind = any(
+        peer.knows_store and _is_newer(peer.revisions, revisions) for peer in usable
     )
 
-    def weigh(one: Source) -> tuple[object, ...]:
-        last = (not one.is_near, _rank(spread, one.name))
-        if lacks_more:
-            return (not one.knows_store, -sum(one.revisions), *last)
-        return (-one.configuration, *last)
+    def rank(peer: Source) -> tuple[object, ...]:
+        last = (not peer.is_near, _rank(spread, peer.name))
+        if is_behind:
+            return (not peer.knows_store, -sum(peer.revisions), *last)
+        return (-peer.configuration, *last)
 
-    return [one.name for one in sorted(usable, key=weigh)]
+    return [peer.name for peer in sorted(usable, key=rank)]
 
 
 def _is_newer(theirs: tuple[int, ...], mine: tuple[int, ...]) -> bool:
--- a/eelgrassrack/decisions/stopping.py
+++ b/eelgrassrack/decisions/stopping.py
@@ -1,47 +1,47 @@
-"""Which requests a process still takes that is going to end.
-
-Load pattern: all entries of a failure domain are stopped one soon after the
-other, as for an update.  The balancer finds too few of them ready and goes on
-sending callers to those that are stopping.  What comes before an entry has left
-the rotation is served as ever, and has until the process ends; here it is decided
-what may still come afterwards.
-
-Only a request's own time limit bounds how long it takes.  How long it will
-most likely take is no bound: an endpoint may be slower than expected, fall
-silent, or be unsure so that another is asked, and the process would end in the
-middle of an answer.  So a request is taken if its limit is over before the
-process ends, and refused at once otherwise, while it surely hasn't run.  Where
-an answer can be kept back until it is whole, one may also be taken by an estimate:
-if that was wrong its caller gets a failure that says so, and nothing is cut.
-
-A caller that is refused has few tries.  Sent on at once while next to all entries
-are stopping, it meets the next one that refuses; told to come when they are
-back, it is served late.
+"""Graceful shutdown: which requests a stopping process still accepts.
+
+When all entries of a failure domain are stopped shortly after each other, as for an
+update, the balancer finds too few of them ready and keeps sending callers to those that
+are stopping.  Requests that arrive before an entry has left the rotation are served as
+usual, until the process ends.  This module decides about the requests after that.
+
+Only a request's own time limit bounds its duration.  The estimate doesn't: an endpoint
+may be slower than expected, stop responding, or have so little confidence in its answer
+that another is asked, and the process would end in the middle of the answer.  A request
+is therefore accepted if its limit ends before the process does.  Otherwise it is
+refused at once, while it certainly hasn't run.  If an answer can be held back until it
+is complete, the request may also be accepted by the estimate.  If the estimate was
+wrong, the caller gets a failure that says so, and no answer is cut off.
+
+A refused caller has few attempts.  If it retried at once while almost all entries are
+stopping, it would reach another one that refuses; if it waited until they are back, it
+would be served late.
 """
 
 import enum
 
 import msgspec
 
-# What isn't expected to be whole with this part of the time to spare is better
-# asked of another entry.
+# A request is accepted by its estimate only if the remaining time is this multiple of
+# the estimate; otherwise another entry should serve it.
 SPARE_FACTOR = 1.3
 
-# A caller comes to another entry soon, or once one that was stopped is back: it
-# has to end, to start, and to be asked by the balancer.
+# Retry times: the first one if another entry can serve the caller now, the second one
+# if a stopped entry must come back, that is end, start, and pass the balancer's check.
 SOON_SECONDS = 0.3
 BACK_SECONDS = 2.0
 
-# The balancer sends callers to all entries of a failure domain, ready or not, if
-# fewer than this part of them are ready, unless none is.
+# If fewer than this share of a failure domain's entries are ready, but at least one,
+# the balancer sends callers to all of them, ready or not.
 READY_SHARE = 0.5
 
 
 class Readiness(msgspec.Struct, kw_only=True, frozen=True):
-    """How many entries are ready.
+    """The number of entries that are ready.
 
-    `near` are all entries of the same failure domain, this one among them,
-    `near_ready` those of them that are ready, `far_ready` those of others.
+    `near` counts all entries of the same failure domain, including this one,
+    `near_ready` those of them that are ready, `far_ready` the ready entries of other
+    domains.
     """
 
     near: int
@@ -50,16 +50,16 @@
 
 
 def may_take(*, remaining: float, limit: float) -> bool:
-    """Tell whether a request surely has its answer before the process ends.
+    """Return whether a request is certain to be answered before the process ends.
 
-    `remaining` is the seconds until then, `limit` those after which the request is
-    answered whatever has become of it.
+    `remaining` is the seconds until the process ends, `limit` the seconds after which
+    the request is answered in any case.
     """
     return limit <= remaining
 
 
 class DrainAction(enum.Enum):
-    """On what terms a request is taken."""
+    """What a stopping process does with a request."""
 
     RELAY = "its answer is passed on as it comes"
     HOLD = "its answer is kept back until it is whole"
@@ -69,10 +69,10 @@
 def choose_drain_action(
     *, remaining: float, limit: float, expected: float, is_repeatable: bool
 ) -> DrainAction:
-    """Return on what terms a process takes a request whose answer it can keep back.
+    """Return what a stopping process does with a request whose answer it can hold back.
 
-    `expected` is the estimate of the seconds that it takes.  What may not be
-    repeated isn't taken by an estimate: its caller couldn't ask again.
+    `expected` is the estimated duration in seconds.  A request that may not be repeated
+    is never accepted by its estimate, since its caller couldn't retry.
     """
     if may_take(remaining=remaining, limit=limit):
         return DrainAction.RELAY
@@ -82,7 +82,7 @@
 
 
 def find_retry_after(readiness: Readiness) -> float:
-    """Return after how many seconds a refused caller best comes again."""
+    """Return the seconds after which a refused caller should retry."""
     if readiness.near_ready >= readiness.near * READY_SHARE:
         return SOON_SECONDS
     if not readiness.near_ready and readiness.far_ready:
--- a/eelgrassrack/decisions/suspects.py
+++ b/eelgrassrack/decisions/suspects.py
@@ -1,14 +1,16 @@
-"""Which endpoints get requests that may not be repeated.
+"""Suspected endpoints: those that lost an answer lately get no unrepeatable requests.
 
-Load pattern: an endpoint looks sound, by its entry and its health, and loses
-answers for some seconds: it resets each connection, or runs requests and says
-nothing.  What may be repeated goes on elsewhere, and its caller notices little.
-What may not has failed with the first loss, and each of thirty entries would
-find out by losses of its own.
+An endpoint that is registered and passes its health checks may lose answers for some
+seconds: it resets every connection, or runs requests and doesn't respond.  Repeatable
+requests are retried elsewhere and their callers notice little.  Requests that may not
+be repeated fail with the first loss, and each of thirty entries would learn of the
+fault by losses of its own.
 
-One loss anywhere is therefore told to all entries, and requests that may not be
-repeated avoid the endpoint for a while.  Repeatable ones still go there and show
-whether it has become sound.
+A loss at one entry is therefore reported to all entries, and requests that may not be
+repeated avoid the endpoint for a while.  Repeatable requests still go there and show
+when it has recovered.
+
+Suspected requests, which may crash endpoints, are the subject of `quarantine`.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,16 +18,18 @@
 
 T = TypeVar("T")
 
-# How long one loss counts.  Faults of this kind last some seconds, and an
-# endpoint that got sound meanwhile is missed by a small part of the work only.
+# How long an endpoint is suspected after a loss.  Faults of this kind last some
+# seconds, and if an endpoint recovers sooner only a small share of requests misses it.
 SUSPICION_SECONDS = 3.0
 
 
 def avoid_suspected(
     endpoints: Iterable[T], *, is_suspected: Callable[[T], bool], is_repeatable: bool
 ) -> list[T]:
-    """Return the endpoints that may get a request, all if all are doubted."""
+    """Return the endpoints that may get a request, or all if all are suspected."""
     endpoints = list(endpoints)
     if is_repeatable:
         return endpoints
-    return [one for one in endpoints if not is_suspected(one)] or endpoints
+    return [
+        endpoint for endpoint in endpoints if not is_suspected(endpoint)
+    ] or endpoints
--- a/eelgrassrack/decisions/timeouts.py
+++ b/eelgrassrack/decisions/timeouts.py
@@ -1,32 +1,39 @@
-"""How long an endpoint that is up may be silent on one request.
+"""Timeouts for a single request at an endpoint that is up.
 
-Load pattern: an endpoint takes requests and never answers some of them, while
-its health probes and all others are fine.  Without this module their callers
-wait until their time is over, and hardly any of that time was needed.
+An endpoint may accept some requests and never answer them, while its health probes and
+all other requests are fine.  Without timeouts their callers would wait until their
+deadlines, although a retry needs little of that time.
 
-Only what may be repeated is sent elsewhere, and its old run is stopped first.
-An endpoint that is only busy must not be left too soon: its work would be
-thrown away just when there is little to spare.  The limit therefore follows
-the estimate, which grows with the endpoint's queue.
+Only repeatable requests are sent elsewhere, after their first run was stopped.  An
+endpoint that is merely busy must not be abandoned too soon, since its work would be
+wasted just when capacity is scarce.  The timeout therefore follows the estimate, which
+grows with the endpoint's queue.
 """
 
-# The first piece may take this many times what was estimated, and more.
+# The timeout for the first piece is this multiple of the estimate, plus a constant that
+# is larger if the endpoint has a prompt to read.
 FIRST_FACTOR = 4.0
-LEAST_FIRST_SECONDS = 0.4
-LEAST_READING_SECONDS = 1.0
+EXTRA_FIRST_SECONDS = 0.4
+EXTRA_READING_SECONDS = 1.0
 
-# A stream may pause this many times as long as its route wants it to; an engine
-# that runs out of memory puts a stream back for a second or so.
+# A stream may pause for this multiple of the route's target.  An engine that runs out
+# of memory preempts a stream for about a second, hence the minimum.
 GAP_FACTOR = 2.0
-LEAST_GAP_SECONDS = 1.5
+MIN_GAP_SECONDS = 1.5
 
 
 def find_first_timeout(*, expected: float, has_prompt: bool) -> float:
-    """Return the longest wait for the first piece, in seconds."""
-    least = LEAST_READING_SECONDS if has_prompt else LEAST_FIRST_SECONDS
-    return expected * FIRST_FACTOR + least
+    """Return the timeout for the first piece of an answer, in seconds.
+
+    `expected` is its estimated time in seconds.
+    """
+    extra = EXTRA_READING_SECONDS if has_prompt else EXTRA_FIRST_SECONDS
+    return expected * FIRST_FACTOR + extra
 
 
 def find_gap_timeout(*, wanted: float) -> float:
-    """Return the longest pause within a stream, in seconds."""
-    return max(wanted * GAP_FACTOR, LEAST_GAP_SECONDS)
+    """Return the timeout between two pieces of a stream, in seconds.
+
+    `wanted` is the route's target for pauses in seconds.
+    """
+    return max(wanted * GAP_FACTOR, MIN_GAP_SECONDS)
--- a/eelgrassrack/decisions/watchers.py
+++ b/eelgrassrack/decisions/watchers.py
@@ -1,14 +1,14 @@
-"""Which entries watch the store for all.
+"""The choice of the entries that watch the store on behalf of all.
 
-Load pattern: each change of the configuration or of an endpoint ends the
-waiting watch of every entry, which then makes a call for the next.  At a few
-changes a second and hundreds of entries those calls alone are more than the
-store takes, and each is paid for.
+Each change of the configuration or of an endpoint ends the pending watch of every
+entry, which then calls the store for the next one.  With a few changes per second and
+hundreds of entries, these calls alone exceed the store's capacity, and each one costs
+money.
 
-A few entries watch, chosen by a hash of their names so that they lie in
-several failure domains.  Their news tell the others that something changed,
-and those fetch it from them.  Where no entry is heard that reaches the store,
-each watches for itself.
+Therefore only a few entries watch the store.  They are chosen by a hash of their names,
+so that they belong to several failure domains.  Their updates tell the others about
+changes, and the others fetch the changes from them.  While no live peer reaches the
+store, every entry watches for itself.
 """
 
 from collections.abc import Iterable
@@ -16,20 +16,20 @@
 import msgspec
 import xxhash
 
-# Up to this many entries all watch: the calls of the others cost less than
-# what a change that comes a little later does.
-ALL_WATCH = 8
+# Up to this number of entries all of them watch: the additional calls cost less than
+# receiving changes a little later.
+MAX_ALL_WATCH = 8
 
-# With more, so many watch.  Where a third of all entries is turned away by the
-# store, one time in a hundred all four are among them, and then the others
-# notice within a second.
+# Number of watchers among more entries.  If the store rejects a third of all entries,
+# all four watchers are among them one time in a hundred; the others then notice within
+# a second.
 WATCHERS = 4
 
 
 class WatchRole(msgspec.Struct, frozen=True):
-    """An entry's place among those that watch, or None, and how many do.
+    """An entry's rank among the watchers, None if it doesn't watch, and their number.
 
-    `is_standby` says that it watches only since none of those hears the store.
+    `is_standby` says that it watches only because no watcher reaches the store.
     """
 
     rank: int | None
@@ -40,11 +40,15 @@
 def find_watch_role(
     *, name: str, others: Iterable[str], is_store_reachable: bool
 ) -> WatchRole:
-    """Return whether an entry watches, given the names of the live others."""
+    """Return an entry's role.
+
+    `others` are the names of the other live entries; `is_store_reachable` says that at
+    least one of them reaches the store.
+    """
     names = {name, *others}
-    ranked = sorted(names, key=lambda one: xxhash.xxh3_64_intdigest(one.encode()))
+    ranked = sorted(names, key=lambda entry: xxhash.xxh3_64_intdigest(entry.encode()))
     rank = ranked.index(name)
-    if len(names) <= ALL_WATCH:
+    if len(names) <= MAX_ALL_WATCH:
         return WatchRole(rank, len(names))
     if not is_store_reachable:
         return WatchRole(rank, len(names), is_standby=rank >= WATCHERS)
--- a/eelgrassrack/decisions/weights.py
+++ b/eelgrassrack/decisions/weights.py
@@ -1,35 +1,36 @@
-"""What the document's policy weights mean to decisions.
+"""Factors that decisions derive from the document's policy weights.
 
-Load pattern: one user's callers wait at a bay, another's drafts may wait but
-must not be wrong.  Without this module both would get the same middle way.
-Only the weights' relations count; equal weights give 1 throughout.
+One user's callers wait at a garage's bay, another's drafts may take long but must not
+be wrong; without the weights both would get the same compromise.  Only the ratios of
+the weights matter; equal weights yield factors of 1.
 """
 
 from ..document.sections import Policy
 
-# Relations are bounded, so that a weight of zero turns nothing off for good.
-LEAST = 0.2
-MOST = 5.0
+# Bounds of the ratios, so that a weight of zero doesn't disable a mechanism entirely.
+MIN_RATIO = 0.2
+MAX_RATIO = 5.0
 
 
 def weigh_latency(policy: Policy) -> float:
-    """Return how much time counts against money."""
+    """Return the weight of latency relative to cost."""
     return _divide(policy.latency, policy.cost)
 
 
 def weigh_haste(policy: Policy) -> float:
-    """Return how much time counts against a bad answer."""
+    """Return the weight of latency relative to exposure to bad answers."""
     return _divide(policy.latency, policy.exposure)
 
 
 def weigh_exposure(policy: Policy) -> float:
-    """Return how much bad answers count against time and money."""
+    """Return the weight of exposure to bad answers relative to cost and latency."""
     return _divide(policy.exposure, (policy.cost + policy.latency) / 2)
 
 
 def _divide(weight: float, other: float) -> float:
+    """Return the bounded ratio of two weights, 1 if both are zero."""
     if weight <= 0 and other <= 0:
         return 1.0
     if other <= 0:
-        return MOST
-    return min(max(weight / other, LEAST), MOST)
+        return MAX_RATIO
+    return min(max(weight / other, MIN_RATIO), MAX_RATIO)
--- a/test/decisions/test_sampling.py
+++ b/test/decisions/test_sampling.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of answers to rate."""
+"""Tests of the sampling of answers for rating."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def test_versions_get_as_many_ratings_within_the_budget():
-    """A version at a tenth would have one rated answer in fifty."""
+    """With uniform sampling, a version at a tenth would get one rating in fifty."""
     shares = {"m/old": 0.9, "m/new": 0.1}
     rated = {
         version: share * find_sample_share(version=version, shares=shares, budget=0.2)
--- a/test/decisions/test_sharedbudget.py
+++ b/test/decisions/test_sharedbudget.py
@@ -1,4 +1,4 @@
-"""Tests of limits that entries share without asking each other."""
+"""Tests of limits that entries share without coordination."""
 
 import collections
 
@@ -27,11 +27,11 @@
 @settings(max_examples=150, deadline=None)
 @given(events=EVENTS, slack=st.integers(20, 100))
 def test_the_budget_holds_over_all_entries(events, slack):
-    """Entries fail, are restarted with empty memories, and load is uneven.
+    """Entries restart with empty memories, and the load is uneven.
 
-    A restarted entry has forgotten its repeats of the window; the part of the
-    limit that isn't used is for that.  Each entry restarts once a window at
-    most here, as a platform that replaces instances does.
+    A restarted entry has forgotten its repeats in the window; the unused part of the
+    limit covers those.  As on a platform that replaces instances, at most one entry
+    restarts per window.
     """
     entries = 5
     sends = {number: RetryWindow(seconds=WINDOW) for number in range(entries)}
@@ -68,8 +68,8 @@
 def test_a_crash_finds_room_beside_better_models():
     """Half of all requests ask a second model, and then endpoints crash.
 
-    Refused for the budget, the callers of the crashed ones would be sent away
-    though two thirds of the common limit aren't used.
+    If the budget didn't allow retries, the callers of crashed endpoints would be
+    refused although two thirds of the common limit aren't used.
     """
     assert allow_retry(requests=50, repeats=35, ratio=0.9, slack=104, entries=32)
 
@@ -85,7 +85,7 @@
     entries=st.integers(1, 400),
 )
 def test_cold_shares_add_up_to_the_limit(rate, slack, entries):
-    """More entries than a cold endpoint bears requests find it idle at once."""
+    """More entries than a cold endpoint can handle requests find it idle at once."""
     shares = [
         share_cold_rate(
             rate=rate, overage=1.5, slack=slack, entries=entries, before=before
--- a/test/decisions/test_slowness.py
+++ b/test/decisions/test_slowness.py
@@ -1,4 +1,4 @@
-"""Tests of how slow endpoints are found out."""
+"""Tests of the detection of slow endpoints."""
 
 import random
 
@@ -6,15 +6,15 @@
 from eelgrassrack.decisions.slowness import Timing, find_slow
 
 
-def watch(*, slow=(), factor=4.0, answers=6, seed=1, spread=0.5, count=24):
+def make_timings(*, slow=(), factor=4.0, answers=6, seed=1, spread=0.5, count=24):
     """Return timings of endpoints, of which some are slow."""
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     timings = {}
     for number in range(count):
         name = f"e{number}"
         timing = Timing()
         for _ in range(answers):
-            seen = 0.1 * dice.lognormvariate(0.3, spread)
+            seen = 0.1 * rng.lognormvariate(0.3, spread)
             seen *= factor if name in slow else 1.0
             timing = timing.note(seen=seen, expected=0.1)
         timings[name] = timing
@@ -22,37 +22,39 @@
 
 
 def test_slow_endpoints_are_found_with_a_few_answers():
-    """Three of 24 endpoints answer well, four times as late as the others.
+    """Three of 24 endpoints answer correctly, but four times as late as the others.
 
-    Nothing fails, so that no probe and no count of failures tells of it.
+    Nothing fails, so neither probes nor failure counts reveal it.
     """
     slow = {"e3", "e9", "e20"}
     for seed in range(30):
-        found = find_slow(watch(slow=slow, seed=seed))
+        found = find_slow(make_timings(slow=slow, seed=seed))
         assert slow <= found.keys()
         assert all(2.0 < found[name] < 6.0 for name in slow)
 
 
-def test_sound_endpoints_are_hardly_taken_for_slow():
-    """Prompts differ, so that sound endpoints look unlike by chance."""
-    wrong = [len(find_slow(watch(seed=seed))) for seed in range(50)]
+def test_healthy_endpoints_are_rarely_found_slow():
+    """Prompts differ, so healthy endpoints differ by chance."""
+    wrong = [len(find_slow(make_timings(seed=seed))) for seed in range(50)]
     assert sum(wrong) <= 0.02 * 50 * 24
 
 
-def test_an_expectation_that_is_wrong_for_all_makes_none_slow():
-    """All endpoints of a service take three times what was expected."""
-    timings = watch(slow={f"e{number}" for number in range(24)}, spread=0.2)
+def test_an_estimate_that_is_wrong_for_all_makes_none_slow():
+    """All endpoints of a service take several times as long as expected."""
+    timings = make_timings(slow={f"e{number}" for number in range(24)}, spread=0.2)
     assert not find_slow(timings)
 
 
-def test_a_few_answers_judge_nobody():
-    assert not find_slow(watch(slow={"e1"}, answers=1))
-    assert not find_slow(watch(slow={"e1"}, count=2))
+def test_a_few_answers_are_not_enough():
+    assert not find_slow(make_timings(slow={"e1"}, answers=1))
+    assert not find_slow(make_timings(slow={"e1"}, count=2))
 
 
 def test_an_endpoint_that_is_fast_again_is_forgiven():
-    """The slow phase is over; its callers must not be sent elsewhere for long."""
-    timings = {name: timing.fade(2.0) for name, timing in watch(slow={"e1"}).items()}
+    """After the slow phase, callers must soon be sent there again."""
+    timings = {
+        name: timing.fade(2.0) for name, timing in make_timings(slow={"e1"}).items()
+    }
     assert "e1" not in find_slow(
         {
             name: timing.note(seen=0.1, expected=0.1).note(seen=0.1, expected=0.1)
@@ -62,7 +64,7 @@
 
 
 def test_a_slow_endpoint_gets_only_what_pays():
-    """A prompt that takes 50 ms elsewhere would take 200 ms at the slow one."""
+    """A prompt that takes 50 ms elsewhere would take 200 ms at the slow endpoint."""
 
     def make(name, wait, slowness=1.0):
         return EngineCandidate(
--- a/test/decisions/test_sources.py
+++ b/test/decisions/test_sources.py
@@ -1,4 +1,4 @@
-"""Tests of whom an entry asks for what changed."""
+"""Tests of the choice of the peer that an entry fetches changes from."""
 
 from eelgrassrack.decisions.sources import Source, rank_sources
 
@@ -21,7 +21,7 @@
 
 
 def test_a_change_doesnt_send_all_to_the_same_watcher():
-    """Fifteen entries ask at once, and four watchers on thin links know."""
+    """Many entries ask at once, and only four watchers on slow links know of it."""
     watchers = [make(f"w{number}") for number in range(4)]
     asked = [first(watchers, spread=f"entry{number}") for number in range(40)]
     assert max(asked.count(one.name) for one in watchers) <= 16
@@ -33,16 +33,16 @@
 
 
 def test_a_configuration_comes_from_anyone_that_has_it():
-    """The only watcher is far and slow; an entry beside has been told already."""
-    told = make("told", knows_store=False, configuration=4, revisions=OLD)
+    """The only watcher is far away and slow; a near entry has the configuration too."""
+    updated = make("told", knows_store=False, configuration=4, revisions=OLD)
     watcher = make("watcher", is_near=False, configuration=4, revisions=OLD)
-    behind = make("behind", configuration=3, revisions=OLD)
-    assert first([watcher, behind, told]) == "told"
+    outdated = make("behind", configuration=3, revisions=OLD)
+    assert first([watcher, outdated, updated]) == "told"
 
 
 def test_endpoints_are_only_learned_from_one_that_hears_the_store():
-    deaf = make("deaf", knows_store=False, configuration=9)
-    assert first([deaf, make("watcher", is_near=False)]) == "watcher"
+    disconnected = make("deaf", knows_store=False, configuration=9)
+    assert first([disconnected, make("watcher", is_near=False)]) == "watcher"
 
 
 def test_one_without_a_configuration_isnt_asked():
--- a/test/decisions/test_urgency.py
+++ b/test/decisions/test_urgency.py
@@ -1,4 +1,4 @@
-"""Tests of which prompts engines read first."""
+"""Tests of the urgency of prompts."""
 
 import itertools
 
@@ -11,7 +11,7 @@
 
 
 def read_in_order(prompts):
-    """Return when each prompt is read, one engine taking the least first."""
+    """Return when one engine that reads in order of urgency has read each prompt."""
     ends = itertools.accumulate(
         sorted(prompts), lambda end, one: end + one[1], initial=0
     )
@@ -19,9 +19,9 @@
 
 
 def test_short_ones_are_not_held_up_by_long_ones():
-    """Two engines' worth of long prompts wait when short ones come.
+    """Long prompts are queued when short ones arrive.
 
-    In the order of arrival each short one would wait for all of them.
+    In order of arrival each short one would wait for all of the long ones.
     """
     long = [(find_urgency(rank=1, reading=MIDDLE), MIDDLE, n) for n in range(20)]
     short = [(find_urgency(rank=1, reading=SHORT), SHORT, n) for n in range(20)]
@@ -50,7 +50,7 @@
     assert find_urgency(rank=1, reading=low) <= find_urgency(rank=1, reading=high)
 
 
-def test_sizes_are_told_apart():
+def test_sizes_have_different_urgencies():
     found = [find_urgency(rank=1, reading=one) for one in (SHORT, MIDDLE, LONG)]
     assert found == sorted(set(found))
     assert SHORT < SIZE_SECONDS[0] < MIDDLE < SIZE_SECONDS[1] < LONG
--- a/test/decisions/test_watches.py
+++ b/test/decisions/test_watches.py
@@ -1,4 +1,4 @@
-"""Tests of which entries watch the store, and of their turns."""
+"""Tests of store watches, idle connections and paces."""
 
 import itertools
 
@@ -7,7 +7,7 @@
 
 from eelgrassrack.decisions.idle import choose_idle_seconds
 from eelgrassrack.decisions.pace import BASE_SECONDS, Pace
-from eelgrassrack.decisions.watchers import ALL_WATCH, WATCHERS, find_watch_role
+from eelgrassrack.decisions.watchers import MAX_ALL_WATCH, WATCHERS, find_watch_role
 from eelgrassrack.decisions.watchschedule import find_wait
 
 
@@ -16,11 +16,11 @@
     bound=st.floats(1.0, 6.0),
     time_of_day=st.floats(0.0, 1e9),
 )
-def test_somebody_watches_anew_well_within_the_bound(entries, bound, time_of_day):
-    """A store that forgot its history leaves all waiting watches deaf.
+def test_some_watch_is_renewed_within_the_bound(entries, bound, time_of_day):
+    """A store that lost its history notifies none of the pending watches.
 
-    The first whose turn comes finds out and tells the others; also with one
-    entry in a row missing that is within the time for the change.
+    The first entry whose turn comes finds the change and notifies the others.  This
+    happens within the bound even if one entry's turn is missing.
     """
     ends = sorted(
         find_wait(bound=bound, entries=entries, rank=rank, time_of_day=time_of_day)
@@ -33,7 +33,7 @@
 
 def test_all_watch_in_a_small_fleet_and_few_in_a_large_one():
     names = [f"entry-{number}" for number in range(40)]
-    for count in (ALL_WATCH, 40):
+    for count in (MAX_ALL_WATCH, 40):
         watches = [
             find_watch_role(
                 name=name,
@@ -44,12 +44,12 @@
         ]
         ranks = [one.rank for one in watches if one.rank is not None]
         assert sorted(ranks) == list(range(min(count, max(WATCHERS, 0)))) or (
-            count == ALL_WATCH and sorted(ranks) == list(range(ALL_WATCH))
+            count == MAX_ALL_WATCH and sorted(ranks) == list(range(MAX_ALL_WATCH))
         )
 
 
-def test_where_nobody_reaches_the_store_each_tries_itself():
-    """The store turns away all that watch, and would serve the others."""
+def test_if_nobody_reaches_the_store_every_entry_watches():
+    """The store rejects all watchers but would serve the other entries."""
     names = [f"entry-{number}" for number in range(40)]
     watches = [
         find_watch_role(name=name, others=names, is_store_reachable=False)
@@ -58,7 +58,7 @@
     assert all(one.rank is not None for one in watches)
 
 
-def test_idle_connections_are_left_before_the_endpoint_leaves_them():
+def test_idle_connections_are_dropped_before_the_endpoint_closes_them():
     assert choose_idle_seconds(5.0) < 5.0
     assert choose_idle_seconds(0.0) == 0.0
     assert choose_idle_seconds(None) > 0.0
@@ -75,7 +75,7 @@
     assert 0.005 < small < 0.007
 
 
-def test_short_prompts_and_outliers_teach_little():
+def test_short_prompts_and_outliers_have_little_effect():
     pace = Pace()
     before = pace.estimate(model="small", cost=1.0, tokens=1_000)
     pace.note(model="small", cost=1.0, tokens=100, seconds=9.0)
