--- a/eelgrassrack/decisions/coldstart.py
+++ b/eelgrassrack/decisions/coldstart.py
@@ -45,8 +45,8 @@
     """
 
     __slots__ = (
-        "_slots",
         "_collapsed_at",
+        "_slots",
         "ceiling",
         "floor",
         "is_growth_paused",
--- a/eelgrassrack/decisions/domains.py
+++ b/eelgrassrack/decisions/domains.py
@@ -21,7 +21,7 @@
     `seconds` is the usual duration of a ramp.
     """
 
-    __slots__ = ("_returned_at", "_ramp_seconds", "seconds")
+    __slots__ = ("_ramp_seconds", "_returned_at", "seconds")
 
     def __init__(self, *, seconds: float) -> None:
         self.seconds = seconds
--- a/eelgrassrack/decisions/fairqueue.py
+++ b/eelgrassrack/decisions/fairqueue.py
@@ -55,7 +55,7 @@
     `served` is the tokens served from the lane, on a clock that both lanes share.
     """
 
-    __slots__ = ("_heap", "_queued", "_numbers", "served")
+    __slots__ = ("_heap", "_numbers", "_queued", "served")
 
     def __init__(self, *, queued: dict[str, QueuedRequest]) -> None:
         self.served = 0.0
@@ -155,8 +155,8 @@
         "_deadlines",
         "_expired",
         "_idle",
-        "_queues",
         "_numbers",
+        "_queues",
         "_requests",
         "tokens",
     )
--- a/test/decisions/deployments.py
+++ b/test/decisions/deployments.py
@@ -52,7 +52,7 @@
     difficulty: float
     objective: float
     worth: float
-    opinions: tuple[int, ...]
+    confidences: tuple[int, ...]
 
 
 class Deployment(msgspec.Struct):
@@ -99,7 +99,7 @@
 def _draw_request(rng, at, domains, models):
     tokens = int(min(rng.lognormvariate(7.6, 1.1), 40_000)) + 50
     difficulty = rng.random()
-    opinions = tuple(
+    confidences = tuple(
         round(min(max(50 + 150 * (m.quality - difficulty) + rng.gauss(0, 10), 0), 100))
         for m in models
     )
@@ -110,11 +110,11 @@
         difficulty=difficulty,
         objective=rng.choice((1.0, 1.5, 2.0)),
         worth=0.3 + tokens / 3_000,
-        opinions=opinions,
+        confidences=confidences,
     )
 
 
-def play(deployment, *, choose_model, choose_place):
+def play(deployment, *, choose_model, choose_placement):
     """Return the total worth and cost of all requests under a policy.
 
     `choose_model` is called after each run for the next model, and returns None once
@@ -124,15 +124,15 @@
     for engine in deployment.engines:
         engine.free_at = 0.0
     for request in deployment.requests:
-        _serve(deployment, request, choose_model, choose_place, total)
+        _serve(deployment, request, choose_model, choose_placement, total)
     return total
 
 
-def _serve(deployment, request, choose_model, choose_place, total):
+def _serve(deployment, request, choose_model, choose_placement, total):
     now = request.at
     model = choose_model(deployment, request, None, now)
     while True:
-        engine = choose_place(deployment, request, model, now)
+        engine = choose_placement(deployment, request, model, now)
         seconds = request.tokens * model.pace * engine.speed
         begun = max(now, engine.free_at)
         now = engine.free_at = begun + seconds
@@ -149,18 +149,18 @@
     total.worth += request.worth * part
 
 
-def choose_ours(deployment, request, model, now):
+def choose_model_under_test(deployment, request, model, now):
     """Return the first or the next model by the decisions under test."""
-    names = tuple(one.name for one in deployment.models)
-    by_name = {one.name: one for one in deployment.models}
+    names = tuple(candidate.name for candidate in deployment.models)
+    by_name = {candidate.name: candidate for candidate in deployment.models}
 
     def estimate(name):
         wait, seconds = min(
             (
-                max(one.free_at - now, 0.0),
-                request.tokens * by_name[name].pace * one.speed,
+                max(engine.free_at - now, 0.0),
+                request.tokens * by_name[name].pace * engine.speed,
             )
-            for one in deployment.engines
+            for engine in deployment.engines
         )
         return Estimate(wait + seconds, wait, wait + seconds)
 
@@ -178,7 +178,7 @@
         chosen = choose_next(
             models=names,
             model=model.name,
-            confidence=request.opinions[names.index(model.name)],
+            confidence=request.confidences[names.index(model.name)],
             objective=request.objective,
             remaining=remaining,
             estimate=estimate,
@@ -194,19 +194,19 @@
     return deployment.models[-1] if model is None else None
 
 
-def place_ours(deployment, request, model, now):
+def place_under_test(deployment, request, model, now):
     """Return the engine by the decisions under test."""
     candidates = [
         EngineCandidate(
-            name=one.name,
-            wait=max(one.free_at - now, 0.0),
-            burden=max(one.free_at - now, 0.0),
+            name=engine.name,
+            wait=max(engine.free_at - now, 0.0),
+            burden=max(engine.free_at - now, 0.0),
             running=0,
             slots=64,
-            is_near=one.domain == request.domain,
-            slowness=one.speed,
+            is_near=engine.domain == request.domain,
+            slowness=engine.speed,
         )
-        for one in deployment.engines
+        for engine in deployment.engines
     ]
     chosen = choose_engine(
         candidates=candidates,
@@ -215,11 +215,11 @@
         spread="entry",
         remaining=request.at + request.objective - now,
     )
-    return next(one for one in deployment.engines if one.name == chosen.name)
+    return next(engine for engine in deployment.engines if engine.name == chosen.name)
 
 
 def place_on_least_busy(deployment, request, model, now):
-    return min(deployment.engines, key=lambda one: (one.free_at, one.name))
+    return min(deployment.engines, key=lambda engine: (engine.free_at, engine.name))
 
 
 def place_in_turn(deployment, request, model, now):
@@ -228,8 +228,8 @@
 
 
 BASELINES = {
-    f"{model} {place}": (choose_model, choose_place)
-    for (model, choose_model), (place, choose_place) in itertools.product(
+    f"{model} {place}": (choose_model, choose_placement)
+    for (model, choose_model), (place, choose_placement) in itertools.product(
         (("first model", choose_first_only), ("best model", choose_best_only)),
         (("least busy", place_on_least_busy), ("in turn", place_in_turn)),
     )
--- a/test/decisions/test_coldstart.py
+++ b/test/decisions/test_coldstart.py
@@ -11,7 +11,7 @@
         window.complete(now=now)
 
 
-def test_grows_with_work_and_falls_at_once():
+def test_window_grows_with_answers_and_collapses_at_once():
     """A warm engine restarts without warning while its queue is full.
 
     If it got the whole queue at once it would crash again.
@@ -29,7 +29,7 @@
     assert window.reason is CollapseReason.ENGINE_RESTARTED
 
 
-def test_burst_of_short_answers_does_not_open_it():
+def test_burst_of_short_answers_does_not_open_the_window():
     """An engine answers a hundred cheap lookups before it has warmed up."""
     window = Window(floor=2, ceiling=16, now=0.0)
     warm_up(window, now=MIN_WARM_UP_SECONDS / 10)
@@ -46,7 +46,7 @@
     assert window.size == 2
 
 
-def test_does_not_grow_while_the_endpoint_says_it_is_cold():
+def test_window_does_not_grow_while_the_endpoint_reports_a_cold_start():
     """A cold engine can handle one request, and answers a few of them one by one.
 
     It still reports a cold start.  If it got two requests at once it would crash, and
--- a/test/decisions/test_engines.py
+++ b/test/decisions/test_engines.py
@@ -75,7 +75,7 @@
         assert chosen.name != busy.name
 
 
-def test_an_engine_that_holds_the_parts_is_taken_up_to_what_they_save():
+def test_an_engine_with_a_cached_prefix_is_preferred_by_what_it_saves():
     holder = make_one(
         name="holder", backlog=0.01, running=1, slots=48, is_near=True, holds_parts=True
     )
--- a/test/decisions/test_fairqueue.py
+++ b/test/decisions/test_fairqueue.py
@@ -80,7 +80,7 @@
     assert 20 < served.index("review") < 40
 
 
-def test_short_request_passes_a_night_of_own_reviews():
+def test_short_request_overtakes_its_organisations_reviews():
     """Analysts queue 50 reviews overnight; one of the analysts asks a short question.
 
     In order of arrival it would wait for all of the reviews, which have hours.
--- a/test/decisions/test_precedence.py
+++ b/test/decisions/test_precedence.py
@@ -17,9 +17,9 @@
     allowed = 0
     for own in entries:
         others = [
-            one if data.draw(st.booleans()) else Sharer(one.name, "")
-            for one in entries
-            if one is not own
+            entry if data.draw(st.booleans()) else Sharer(entry.name, "")
+            for entry in entries
+            if entry is not own
         ]
         before = count_before(own=own, others=others, key="1", domain="north")
         allowed += before < limit
@@ -34,12 +34,12 @@
         for own in entries
         if count_before(
             own=own,
-            others=[one for one in entries if one is not own],
+            others=[entry for entry in entries if entry is not own],
             key="1",
             domain="north",
         )
         < limit
     ]
-    near = [one for one in entries if one.domain == "north"]
+    near = [entry for entry in entries if entry.domain == "north"]
     assert len(allowed) == min(limit, len(entries))
-    assert sum(one.domain == "north" for one in allowed) == min(limit, len(near))
+    assert sum(entry.domain == "north" for entry in allowed) == min(limit, len(near))
--- a/test/decisions/test_queryofdeath.py
+++ b/test/decisions/test_queryofdeath.py
@@ -42,7 +42,7 @@
     )
 
 
-def test_entries_count_together_and_a_crash_once():
+def test_crashes_are_counted_across_entries_and_only_once():
     """The caller reaches another entry each time."""
     detector = QueryOfDeathDetector()
     crash(detector, "bad", "e0", 0.0)
--- a/test/decisions/test_sharedbudget.py
+++ b/test/decisions/test_sharedbudget.py
@@ -65,7 +65,7 @@
         assert in_window <= 0.9 * earned + slack
 
 
-def test_a_crash_finds_room_beside_better_models():
+def test_escalations_leave_budget_for_retries_after_a_crash():
     """Half of all requests ask a second model, and then endpoints crash.
 
     If the budget didn't allow retries, the callers of crashed endpoints would be
--- a/test/decisions/test_slowness.py
+++ b/test/decisions/test_slowness.py
@@ -63,7 +63,7 @@
     )
 
 
-def test_a_slow_endpoint_gets_only_what_pays():
+def test_a_slow_endpoint_is_used_if_it_is_still_faster():
     """A prompt that takes 50 ms elsewhere would take 200 ms at the slow endpoint."""
 
     def make(name, wait, slowness=1.0):
--- a/test/decisions/test_sources.py
+++ b/test/decisions/test_sources.py
@@ -24,7 +24,7 @@
     """Many entries ask at once, and only four watchers on slow links know of it."""
     watchers = [make(f"w{number}") for number in range(4)]
     asked = [first(watchers, spread=f"entry{number}") for number in range(40)]
-    assert max(asked.count(one.name) for one in watchers) <= 16
+    assert max(asked.count(watcher.name) for watcher in watchers) <= 16
 
 
 def test_one_of_the_same_failure_domain_is_asked_first():
@@ -40,7 +40,7 @@
     assert first([watcher, outdated, updated]) == "told"
 
 
-def test_endpoints_are_only_learned_from_one_that_hears_the_store():
+def test_endpoints_are_only_learned_from_a_peer_that_reaches_the_store():
     disconnected = make("deaf", knows_store=False, configuration=9)
     assert first([disconnected, make("watcher", is_near=False)]) == "watcher"
 
--- a/test/decisions/test_watches.py
+++ b/test/decisions/test_watches.py
@@ -34,15 +34,15 @@
 def test_all_watch_in_a_small_fleet_and_few_in_a_large_one():
     names = [f"entry-{number}" for number in range(40)]
     for count in (MAX_ALL_WATCH, 40):
-        watches = [
+        roles = [
             find_watch_role(
                 name=name,
-                others=[one for one in names[:count] if one != name],
+                others=[other for other in names[:count] if other != name],
                 is_store_reachable=True,
             )
             for name in names[:count]
         ]
-        ranks = [one.rank for one in watches if one.rank is not None]
+        ranks = [role.rank for role in roles if role.rank is not None]
         assert sorted(ranks) == list(range(min(count, max(WATCHERS, 0)))) or (
             count == MAX_ALL_WATCH and sorted(ranks) == list(range(MAX_ALL_WATCH))
         )
@@ -51,11 +51,11 @@
 def test_if_nobody_reaches_the_store_every_entry_watches():
     """The store rejects all watchers but would serve the other entries."""
     names = [f"entry-{number}" for number in range(40)]
-    watches = [
+    roles = [
         find_watch_role(name=name, others=names, is_store_reachable=False)
         for name in names
     ]
-    assert all(one.rank is not None for one in watches)
+    assert all(role.rank is not None for role in roles)
 
 
 def test_idle_connections_are_dropped_before_the_endpoint_closes_them():
