--- a/eelgrassrack/platform/__init__.py
+++ b/eelgrassrack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""How the platform speaks: names, formats and calls.  Nothing here decides."""
+"""The platform's header names, data formats and calls, without any routing logic."""
--- a/eelgrassrack/platform/errors.py
+++ b/eelgrassrack/platform/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the platform's formats."""
+"""Errors in the platform's data formats."""
 
 from ..errors import EelgrassrackError
 
 
 class FormatError(EelgrassrackError):
-    """Bytes of the platform can't be read."""
+    """Data from the platform can't be decoded."""
--- a/eelgrassrack/platform/headers.py
+++ b/eelgrassrack/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, decoded into the gateway's messages and back."""
+"""Conversion between the platform's headers and the gateway's messages."""
 
 from collections.abc import Iterable
 
@@ -23,9 +23,9 @@
 INSTANCE = "X-Instance"
 SCHEME = "bearer "
 
-# Headers that are the router's to set: a caller's own are dropped, since with
-# them it could use another's memory or reserve an endpoint for itself.
-OWN_HEADERS = frozenset(
+# Only the router may set these headers.  Values sent by a caller are dropped: they
+# would let it use another request's memory or reserve an endpoint for itself.
+ROUTER_HEADERS = frozenset(
     {
         "authorization",
         "x-tenant",
@@ -44,7 +44,7 @@
         "expect",
     }
 )
-DROPPED = HOP_BY_HOP | OWN_HEADERS
+DROPPED = HOP_BY_HOP | ROUTER_HEADERS
 
 MISDIRECTED = 421
 MILLISECONDS = 1000.0
@@ -57,7 +57,10 @@
     pairs: Iterable[tuple[str, str]],
     now: float,
 ) -> Arrival:
-    """Return a caller's request from its start line and header fields."""
+    """Decode a caller's request from its start line and header fields.
+
+    `now` is the arrival time in seconds of the monotonic clock.
+    """
     kept = []
     named: dict[str, str] = {}
     for name, value in pairs:
@@ -97,7 +100,10 @@
     model: str,
     priority: int | None,
 ) -> list[tuple[str, str]]:
-    """Return the header fields for an endpoint; `remaining` is in seconds."""
+    """Return the header fields of the request to an endpoint.
+
+    `remaining` is the time until the request's deadline, in seconds.
+    """
     pairs = [("Host", arrival.host)]
     pairs += [
         (name, model if name.lower() == "x-model" else value)
@@ -119,7 +125,7 @@
 def decode_head(
     *, status: int, reason: str, pairs: Iterable[tuple[str, str]]
 ) -> ResponseHead:
-    """Return the head of an endpoint's answer."""
+    """Decode the status and headers of an endpoint's response."""
     kept = []
     named: dict[str, str] = {}
     for name, value in pairs:
@@ -164,13 +170,13 @@
 
 def _decode_tokens(value: str) -> tuple[int, int]:
     fields = value.split(",")
-    if len(fields) != 2 or not all(one.strip().isdecimal() for one in fields):
+    if len(fields) != 2 or not all(field.strip().isdecimal() for field in fields):
         return 0, 0
     return int(fields[0]), int(fields[1])
 
 
 def _decode_parts(value: str) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt; a list that can't be read is none."""
+    """Return the parts of a prompt, or none if the list is malformed."""
     pairs = [item.strip().split(":") for item in value.split(",") if item.strip()]
     if not all(len(pair) == 2 and pair[1].isdecimal() for pair in pairs):
         return ()
@@ -179,9 +185,9 @@
 
 def _decode_load(value: str) -> EndpointLoad | None:
     fields = value.split(",")
-    if len(fields) != 3 or not all(one.strip().isdecimal() for one in fields):
+    if len(fields) != 3 or not all(field.strip().isdecimal() for field in fields):
         return None
-    return EndpointLoad(*(int(one) for one in fields))
+    return EndpointLoad(*(int(field) for field in fields))
 
 
 def _decode_count(value: str) -> int | None:
@@ -189,7 +195,7 @@
 
 
 def _decode_keep_alive(value: str) -> float | None:
-    """Return the seconds that `Keep-Alive: timeout=5` names."""
+    """Return the idle timeout in seconds from a value such as `timeout=5`."""
     for item in value.split(","):
         name, _, number = item.strip().partition("=")
         if name.lower() == "timeout" and number.strip().isdecimal():
--- a/eelgrassrack/platform/manifest.py
+++ b/eelgrassrack/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The platform's manifest, decoded into a plan."""
+"""Decoding of the platform's manifest into the gateway's configuration."""
 
 import msgspec
 
@@ -22,14 +22,18 @@
 
 
 class WireTarget(msgspec.Struct, frozen=True):
-    """A service of a split route."""
+    """A service that receives a share of a route's traffic."""
 
     service: str
     weight: float
 
 
 class WireRoute(msgspec.Struct, frozen=True, rename="camel"):
-    """A route; `public` means that no key is asked for."""
+    """A route.
+
+    A `public` route needs no API key.  Fields ending in `_ms` are in milliseconds.
+    `sizes` names the models that may answer, smallest first.
+    """
 
     name: str
     hostname: str
@@ -48,14 +52,14 @@
 
 
 class WireModel(msgspec.Struct, frozen=True):
-    """A model of an engine; `cost` is for 1,000 generated tokens."""
+    """A model of an engine; `cost` is the price of 1,000 generated tokens."""
 
     name: str
     cost: float = 0.0
 
 
 class WireEngine(msgspec.Struct, frozen=True, rename="camel"):
-    """What the engines of a service are like."""
+    """The capacity and the models of each engine of a service."""
 
     slots: int = 1
     kv_capacity_tokens: int = 0
@@ -63,7 +67,11 @@
 
 
 class WireService(msgspec.Struct, frozen=True, rename="camel"):
-    """A service."""
+    """A service and how to reach its endpoints.
+
+    A cold endpoint takes `cold_s` seconds to warm up and serves `cold_per_s`
+    requests a second until then.
+    """
 
     name: str
     health_path: str = "/healthz"
@@ -74,7 +82,7 @@
 
 
 class WireLimits(msgspec.Struct, frozen=True, rename="camel"):
-    """What a caller may send."""
+    """Limits on what a caller may send, in bytes and milliseconds."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -83,7 +91,7 @@
 
 
 class WireOrganisation(msgspec.Struct, frozen=True, rename="camel"):
-    """An organisation and its keys."""
+    """An organisation and its API keys."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -91,7 +99,7 @@
 
 
 class WireManifest(msgspec.Struct, frozen=True):
-    """The whole manifest; without `tenants` no key is asked for."""
+    """The whole manifest; without `tenants` no API key is needed."""
 
     version: int
     routes: tuple[WireRoute, ...] = ()
@@ -101,21 +109,21 @@
 
 
 def decode_manifest(data: msgspec.Raw | bytes) -> Configuration:
-    """Return the plan; raise `FormatError` if it can't be read."""
+    """Decode a manifest; raise `FormatError` if it is malformed."""
     try:
         wire = msgspec.json.decode(data, type=WireManifest)
         routes = tuple(_decode_route(route) for route in wire.routes)
     except (msgspec.DecodeError, KeyError) as error:
-        raise FormatError(f"a manifest that can't be read: {error}") from error
+        raise FormatError(f"malformed manifest: {error}") from error
     organisations = wire.tenants or ()
     return Configuration(
         version=wire.version,
         routes=routes,
-        services={one.name: _decode_service(one) for one in wire.services},
+        services={service.name: _decode_service(service) for service in wire.services},
         keys={
-            key: Organisation(name=one.name, priority=one.priority)
-            for one in organisations
-            for key in one.api_keys
+            key: Organisation(name=organisation.name, priority=organisation.priority)
+            for organisation in organisations
+            for key in organisation.api_keys
         },
         limits=Limits(
             header_bytes=wire.limits.max_header_bytes,
@@ -136,7 +144,9 @@
         kind=KINDS[wire.route_type],
         timeout=wire.timeout_ms / MILLISECONDS,
         objective=wire.target_latency_ms / MILLISECONDS,
-        targets=tuple(Target(service=one.service, weight=one.weight) for one in split),
+        targets=tuple(
+            Target(service=target.service, weight=target.weight) for target in split
+        ),
         attempts=wire.max_attempts,
         priority=wire.priority,
         is_open=wire.public,
--- a/eelgrassrack/platform/objects.py
+++ b/eelgrassrack/platform/objects.py
@@ -1,4 +1,4 @@
-"""The objects of the platform's store, decoded into the gateway's types."""
+"""Decoding of the objects in the platform's store into the gateway's types."""
 
 import logbook
 import msgspec
@@ -16,13 +16,13 @@
     "done": RolloutState.DONE,
     "rolled_back": RolloutState.ROLLED_BACK,
 }
-STATE_WORDS = {state: word for word, state in STATES.items()}
+STATE_NAMES = {state: name for name, state in STATES.items()}
 
 
 class WireMeta(msgspec.Struct, frozen=True):
-    """What the store keeps of an object.
+    """Metadata of an object.
 
-    `created` is a revision of the store, not a time.
+    `created` is the store's revision at which the object was created, not a time.
     """
 
     name: str
@@ -32,7 +32,7 @@
 
 
 class WireObject(msgspec.Struct, frozen=True):
-    """One object; `spec` is read by kind."""
+    """One object; how `spec` is decoded depends on its kind."""
 
     metadata: WireMeta
     spec: msgspec.Raw = msgspec.Raw(b"null")
@@ -48,21 +48,21 @@
 
 
 class WireEvent(msgspec.Struct, frozen=True):
-    """One change; `tombstone` says that the object was removed."""
+    """One change; `tombstone` means that the object was deleted."""
 
     object: WireObject
     tombstone: bool = False
 
 
 class WireWatch(msgspec.Struct, frozen=True, rename="camel"):
-    """What a watch returned."""
+    """The changes that a watch returned."""
 
     events: tuple[WireEvent, ...]
     store_revision: int
 
 
 class WireEndpoint(msgspec.Struct, frozen=True, rename="camel"):
-    """An endpoint's entry; `version` is that of its software."""
+    """An endpoint; `version` is the version of its software."""
 
     service: str
     address: str
@@ -75,7 +75,7 @@
 
 
 class WireOrder(msgspec.Struct, frozen=True, rename="camel"):
-    """A roll-out's order; `duration_s` is its time limit."""
+    """An order to roll out version `to`, within `duration_s` seconds."""
 
     service: str
     to: str
@@ -83,7 +83,10 @@
 
 
 class WireStatus(msgspec.Struct, frozen=True, rename="camel"):
-    """A roll-out's status; `since` is our own field, in Unix seconds."""
+    """A roll-out's status.
+
+    `since` is in Unix seconds and is set by this router, not by the platform.
+    """
 
     state: str
     to: str
@@ -91,13 +94,13 @@
 
 
 class WirePeer(msgspec.Struct, frozen=True):
-    """Our own kind: an entry and where it takes news."""
+    """The address where an entry receives peer updates; a kind of this router's own."""
 
     address: str
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Return host and port; raise `FormatError` if there is none."""
+    """Split `HOST:PORT`; raise `FormatError` for any other text."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal():
         raise FormatError(f"not an address: {text[:80]}")
@@ -105,7 +108,7 @@
 
 
 def decode_endpoint(wire: WireObject) -> Endpoint:
-    """Return an endpoint; raise `FormatError` if it names none to use."""
+    """Decode an endpoint; raise `FormatError` if malformed or in an unknown state."""
     spec = _decode(wire, WireEndpoint)
     if spec.state not in {"ready", "draining"}:
         raise FormatError(f"no such state: {spec.state[:80]}")
@@ -123,7 +126,7 @@
 
 
 def decode_order(wire: WireObject) -> RolloutOrder:
-    """Return a roll-out's order with what was written of it."""
+    """Decode a roll-out's order and its recorded status."""
     spec = _decode(wire, WireOrder)
     return RolloutOrder(
         service=spec.service,
@@ -136,15 +139,15 @@
 
 
 def decode_peer(wire: WireObject) -> Peer:
-    """Return an entry that takes news."""
+    """Decode the address where another entry receives peer updates."""
     spec = _decode(wire, WirePeer)
     return Peer(name=wire.metadata.name, address=split_address(spec.address))
 
 
 def encode_status(status: RolloutStatus) -> dict[str, object]:
-    """Return the status for the store."""
+    """Encode a roll-out's status for the store."""
     return {
-        "state": STATE_WORDS[status.state],
+        "state": STATE_NAMES[status.state],
         "to": status.version,
         "since": status.since,
     }
--- a/eelgrassrack/platform/store.py
+++ b/eelgrassrack/platform/store.py
@@ -1,4 +1,4 @@
-"""The calls to the platform's store."""
+"""Client of the platform's store: list, watch and write its objects."""
 
 import urllib.parse
 from collections.abc import Callable
@@ -33,7 +33,8 @@
 
 OBJECTS_PATH = "/objects"
 
-# A revision to watch from, and the milliseconds to wait for a change.
+# Query parameters: the revision to watch from, how many milliseconds to wait for a
+# change, and whether a lagging replica may answer.
 WATCH_QUERY = "watch"
 WAIT_QUERY = "waitMs"
 STALE_QUERY = "staleOk"
@@ -42,18 +43,18 @@
 CONFLICT = 409
 MILLISECONDS = 1000.0
 
-# Connections to the store: a waiting watch a kind, one more for each that was
-# given up but still waits there, and calls beside them.
-MOST_CONNECTIONS = 16
+# Each kind needs one connection for its pending watch and one for a watch that
+# timed out here but is still pending at the store.  The rest are for other calls.
+MAX_CONNECTIONS = 16
 
-# For a page of a megabyte over a thin link.
-MOST_PAGE_SECONDS = 8.0
+# Enough for a page of one megabyte over a slow link.
+MAX_PAGE_SECONDS = 8.0
 
 JSON = {"Content-Type": "application/json"}
 
 
 class Kinds:
-    """The kinds of objects that the gateway reads, as the store spells them."""
+    """The store's names for the kinds of objects that the gateway reads."""
 
     CONFIGURATION = "config"
     ENDPOINTS = "servers"
@@ -62,17 +63,17 @@
     PEERS = "eelgrassrack-entries"
 
 
-# The one object of the configuration's kind that holds the manifest.
+# The object of kind `CONFIGURATION` that holds the manifest.
 MANIFEST_NAME = "main"
 
 
 def decode_configuration(wire: WireObject) -> object:
-    """Return the plan of the object that holds it."""
+    """Decode the manifest that an object holds."""
     return decode_manifest(wire.spec)
 
 
 def decode_presence(wire: WireObject) -> object:
-    """Return the name of an object that says all by being there."""
+    """Return the name of an object of which only its existence matters."""
     return wire.metadata.name
 
 
@@ -86,18 +87,21 @@
 
 
 class Malformed(msgspec.Struct, frozen=True):
-    """An object that can't be read; it stands for nothing."""
+    """Stands in for an object that can't be decoded, and says why."""
 
     reason: str
 
 
 class PlatformStore:
-    """Read and write objects; a call never raises for a failure."""
+    """Read and write objects.
+
+    A failed call returns `StoreUnavailable` or False and raises nothing.
+    """
 
     __slots__ = ("_http",)
 
     def __init__(self, *, url: str) -> None:
-        self._http = HttpCaller(url=url, max_clients=MOST_CONNECTIONS)
+        self._http = HttpCaller(url=url, max_clients=MAX_CONNECTIONS)
 
     def close(self) -> None:
         """Close all connections."""
@@ -108,7 +112,8 @@
     ) -> ListResult | StoreUnavailable:
         """Return all objects of a kind.
 
-        A page is given up after `timeout` seconds without a byte of it.
+        A page fails after `timeout` seconds in which none of its bytes arrive.  With
+        `allow_stale` a lagging replica may answer.
         """
         objects: dict[str, object] = {}
         newest = 0
@@ -119,7 +124,7 @@
                 query[STALE_QUERY] = "1"
             outcome = await self._http.fetch(
                 path=_make_path(kind, query=query),
-                timeout=MOST_PAGE_SECONDS,
+                timeout=MAX_PAGE_SECONDS,
                 stall=timeout,
             )
             page = _read(outcome, WirePage)
@@ -141,7 +146,11 @@
     async def watch(
         self, *, kind: str, revision: int, wait: float, timeout: float
     ) -> WatchResult | HistoryGone | StoreUnavailable:
-        """Return what changed after a revision, waiting `wait` seconds for it."""
+        """Return the changes after a revision.
+
+        The store waits up to `wait` seconds for a change, the client up to
+        `timeout` seconds for the store.
+        """
         query = {
             WATCH_QUERY: str(revision),
             WAIT_QUERY: str(int(wait * MILLISECONDS)),
@@ -164,25 +173,29 @@
         )
 
     async def write_peer(self, *, name: str, address: str, timeout: float) -> bool:
-        """Say where this entry takes news; return whether that is known to lie there.
+        """Publish the address where this entry receives peer updates.
 
-        The object is made anew or replaced, so a repeated call does no harm.
-        One that says the same already, as after a restart, is left as it is.
+        Return whether the store is known to hold that address.  The call is
+        idempotent: it creates or replaces the object, and leaves one alone that
+        already holds this address, as after a restart.
         """
         body = {"metadata": {"name": name}, "spec": {"address": address}}
         path = _make_path(Kinds.PEERS)
-        made = await self._send("POST", path, body, timeout)
-        if isinstance(made, Answer) and made.status == CONFLICT:
-            if _find_address(made) == split_address(address):
+        outcome = await self._send("POST", path, body, timeout)
+        if isinstance(outcome, Answer) and outcome.status == CONFLICT:
+            if _find_address(outcome) == split_address(address):
                 return True
             path = _make_path(Kinds.PEERS, name=name)
-            made = await self._send("PUT", path, body, timeout)
-        return isinstance(made, Answer) and made.status < 300
+            outcome = await self._send("PUT", path, body, timeout)
+        return isinstance(outcome, Answer) and outcome.status < 300
 
     async def write_status(
         self, *, service: str, revision: int, status: RolloutStatus, timeout: float
     ) -> bool:
-        """Write a roll-out's status if its object is still at `revision`."""
+        """Write a roll-out's status if its object is still at `revision`.
+
+        Return whether the store confirmed the write.
+        """
         body = {
             "metadata": {"name": service, "revision": revision},
             "status": encode_status(status),
@@ -205,19 +218,20 @@
 
 
 def _find_address(conflict: Answer) -> tuple[str, int] | None:
-    """Return the address of the entry that a conflict's answer holds."""
+    """Return the address in the existing object that a conflict response carries."""
     try:
         wire = msgspec.json.decode(conflict.body, type=WireObject)
         return decode_peer(wire).address
     except (msgspec.DecodeError, FormatError) as error:
-        log.info("store: an entry's object is replaced, it can't be read: {}", error)
+        log.info("store: replacing an entry's object that can't be read: {}", error)
         return None
 
 
 def _find_newest(changes: WireWatch) -> int:
     """Return the revision of the last change.
 
-    A removed object only tells that of its last change before.
+    A deleted object only carries the revision of its last change before the
+    deletion, so the store's revision counts for it.
     """
     return max(
         (
--- a/test/platform/test_formats.py
+++ b/test/platform/test_formats.py
@@ -21,8 +21,8 @@
 
 PACKAGE = Path(eelgrassrack.__file__).parent
 
-# Names of headers and camel-case fields of the platform's bodies; words that
-# both sides use, such as `version`, aren't among them.
+# Header names and camel-case fields of the platform's bodies.  Names that the rest of
+# the package also uses, such as `version`, aren't included.
 WIRE_NAMES = re.compile(
     r"X-Attempt-Id|X-Deadline-Ms|X-Prompt-Prefix|X-Server-Stamp|X-Tenant"
     r"|X-Expect-Instance|X-Instance|X-Not-Executed|X-Cold-Ms|X-Model"
@@ -47,7 +47,7 @@
     )
 
 
-def test_no_name_of_the_wire_stands_outside_its_folder():
+def test_wire_names_are_used_only_in_the_platform_package():
     found = [
         f"{path.relative_to(PACKAGE)}:{number}"
         for path in PACKAGE.rglob("*.py")
@@ -55,11 +55,11 @@
         for number, line in enumerate(path.read_text().splitlines(), start=1)
         if WIRE_NAMES.search(line)
     ]
-    known = [one for one in found if not one.startswith(OLD_OBJECT_API)]
-    assert not known
+    unexpected = [place for place in found if not place.startswith(OLD_OBJECT_API)]
+    assert not unexpected
 
 
-# The product's own object API has paths of its own that look alike.
+# The older object API has paths of its own that match the pattern.
 OLD_OBJECT_API = ("store/client.py", "store/replies.py", "standins/object")
 
 
@@ -123,7 +123,7 @@
 
 
 def test_a_caller_cant_speak_for_the_router():
-    """It could reserve an engine, or use the memory of another's request."""
+    """It could reserve an engine, or use the memory of another caller's request."""
     arrival = decode(
         X_Hold="h",
         X_Pin_Ms="9",
@@ -181,7 +181,7 @@
     assert "Keep-Alive" not in dict(found.headers)
 
 
-def test_what_an_answer_promises():
+def test_not_run_and_is_whole_are_decoded():
     assert head(503, X_Not_Executed="1").not_run
     assert head(421).not_run
     assert not head(503).not_run
@@ -239,7 +239,7 @@
     "change",
     [{"state": "odd"}, {"address": "nowhere"}, {"slots": "6"}, {"service": None}],
 )
-def test_an_entry_of_another_writer_is_an_error(change):
+def test_a_malformed_endpoint_is_an_error(change):
     with pytest.raises(FormatError):
         objects.decode_endpoint(make_object({**ENTRY, **change}))
 
--- a/test/platform/test_store.py
+++ b/test/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, against its stand-in."""
+"""Tests of the client of the platform's store, against its stand-in."""
 
 import asyncio
 
@@ -6,15 +6,15 @@
 from eelgrassrack.standins.metadatastore import MetadataStore
 
 
-def run(play):
-    """Play with a store and its stand-in."""
+def run(scenario):
+    """Run a scenario with a client and the stand-in of the store."""
 
     async def main():
         standin = MetadataStore()
         await standin.start()
         store = PlatformStore(url=standin.url)
         try:
-            await play(store, standin)
+            await scenario(store, standin)
         finally:
             store.close()
             await standin.stop()
@@ -30,36 +30,36 @@
     return bytes(standin.find(kind=Kinds.PEERS, name="entry-1").spec)
 
 
-def test_an_entry_that_says_the_same_is_left_as_it_is():
-    """All entries restart at once; each call to the store is paid for."""
+def test_an_unchanged_address_is_not_written():
+    """All entries restart at once, and each call to the store is expensive."""
 
-    async def play(store, standin):
+    async def scenario(store, standin):
         assert await write(store, "10.0.0.1:7")
         before, revision = standin.calls, standin.revision
         assert await write(store, "10.0.0.1:7")
         assert standin.calls == before + 1
         assert standin.revision == revision
 
-    run(play)
+    run(scenario)
 
 
-def test_an_entry_at_a_new_address_replaces_its_old_one():
-    """An instance comes back at another address; peers would send to the old one."""
+def test_a_new_address_replaces_the_old_one():
+    """An instance returns at another address; peers must not send to the old one."""
 
-    async def play(store, standin):
+    async def scenario(store, standin):
         assert await write(store, "10.0.0.1:7")
         assert await write(store, "10.0.0.2:7")
         assert b"10.0.0.2:7" in find_address(standin)
 
-    run(play)
+    run(scenario)
 
 
-def test_an_entry_of_another_writer_is_replaced():
-    """Somebody else wrote bytes under the name that no entry can read."""
+def test_a_malformed_object_is_replaced():
+    """Another writer stored bytes under the entry's name that no entry can decode."""
 
-    async def play(store, standin):
+    async def scenario(store, standin):
         standin.put_raw(kind=Kinds.PEERS, name="entry-1", spec=b"7")
         assert await write(store, "10.0.0.1:7")
         assert b"10.0.0.1:7" in find_address(standin)
 
-    run(play)
+    run(scenario)
