--- a/eelgrassrack/store/__init__.py
+++ b/eelgrassrack/store/__init__.py
@@ -1,1 +1,1 @@
-"""State that outlives instances, kept in the platform's object API."""
+"""Durable state, kept in the platform's object API so that it outlives instances."""
--- a/eelgrassrack/store/budget.py
+++ b/eelgrassrack/store/budget.py
@@ -1,19 +1,20 @@
-"""How often one daemon may call the platform, and how soon after failures.
-
-The platform takes a few hundred writes and about two thousand reads a
-second from the whole fleet, and counts each call.  Without a budget one
-daemon in a loop takes everybody's share; without jittered backoff all
-daemons come back in the same instant after an outage and bring the
-platform down again.  Nothing here reads a clock or rolls dice: the
-caller passes `now` in seconds and `jitter` from 0 to 1.
+"""Rate limit, backoff and circuit breaker for one daemon's calls to the platform.
+
+The platform serves a few hundred writes and about two thousand reads a second
+for the whole fleet, and counts each call.  Without a rate limit, one daemon in a
+loop would use up the share of all others.  Without jittered backoff, all daemons
+would retry in the same instant after an outage and bring the platform down again.
+
+The classes are deterministic: callers pass the time as `now`, in seconds, and a
+random `jitter` between 0 and 1.
 """
 
-GROWTH = 2.0
-FAILURES_BEFORE_PAUSE = 3
+GROWTH_FACTOR = 2.0
+FAILURES_BEFORE_OPEN = 3
 
 
 class CallBudget:
-    """A token bucket: `per_second` calls in the long run, `burst` at once."""
+    """A token bucket that holds `burst` calls and refills `per_second`."""
 
     __slots__ = ("_at", "_burst", "_per_second", "_tokens")
 
@@ -24,7 +25,7 @@
         self._at: float | None = None
 
     def admit(self, *, now: float) -> bool:
-        """Take one call from the budget; false if none is left."""
+        """Take a token for one call; return False if none is left."""
         self._refill(now=now)
         if self._tokens < 1.0:
             return False
@@ -37,93 +38,95 @@
         return max(0.0, (1.0 - self._tokens) / self._per_second)
 
     def _refill(self, *, now: float) -> None:
-        # A clock that steps back would otherwise take tokens away.
+        # A clock that steps back must not remove tokens.
         elapsed = max(0.0, now - self._at) if self._at is not None else 0.0
         self._at = now
         self._tokens = min(self._burst, self._tokens + elapsed * self._per_second)
 
 
 class Backoff:
-    """Delays that double from `base` up to `most` seconds, with jitter."""
+    """Exponential backoff with jitter, from `base` up to `maximum` seconds."""
 
-    __slots__ = ("_base", "_ceiling", "_most")
+    __slots__ = ("_base", "_ceiling", "_maximum")
 
-    def __init__(self, *, base: float, most: float) -> None:
+    def __init__(self, *, base: float, maximum: float) -> None:
         self._base = base
-        self._most = most
+        self._maximum = maximum
         self._ceiling = base
 
     def next_delay(self, *, jitter: float) -> float:
-        """Return the delay before the next try, evenly spread by `jitter`.
+        """Return the delay before the next try, in seconds.
 
-        The spread runs from half a ceiling to a whole one: daemons that
-        failed together spread out, and none tries again at once.
+        The delay lies between half the current ceiling and the ceiling, depending
+        on `jitter`.  Daemons that failed together spread out, and none retries
+        immediately.
         """
         ceiling = self._ceiling
-        self._ceiling = min(self._most, ceiling * GROWTH)
+        self._ceiling = min(self._maximum, ceiling * GROWTH_FACTOR)
         return ceiling * (1.0 + jitter) / 2.0
 
     def reset(self) -> None:
-        """Start from the base again after a success."""
+        """Return to the base delay after a success."""
         self._ceiling = self._base
 
 
 class CircuitBreaker:
-    """Whether to call at all while the platform keeps failing.
+    """A circuit breaker that holds calls back while the platform keeps failing.
 
-    A few failures in a row close the gate for a jittered pause; then one
-    call probes, and its success opens the gate for all.  Without it every
-    request of a busy entry would wait for a timeout of its own and spend
-    the budget, and the platform would meet the whole load on its return.
+    Several failures in a row open the circuit for a jittered pause.  Then one
+    probe call is admitted, and its success closes the circuit again.  Without the
+    breaker, every request of a busy entry would wait for its own timeout and use
+    up the budget, and the platform would face the full load when it returns.
     """
 
-    __slots__ = ("_backoff", "_failures", "_probing_until", "_shut_until")
+    __slots__ = ("_backoff", "_failures", "_open_until", "_probing_until")
 
     def __init__(self, *, backoff: Backoff) -> None:
         self._backoff = backoff
         self._failures = 0
-        self._shut_until = 0.0
+        self._open_until = 0.0
         self._probing_until = 0.0
 
     @property
-    def is_open(self) -> bool:
-        """Tell whether calls go through without a probe."""
-        return self._failures < FAILURES_BEFORE_PAUSE
+    def is_closed(self) -> bool:
+        """Return whether calls are admitted without a probe."""
+        return self._failures < FAILURES_BEFORE_OPEN
 
     def find_wait(self, *, now: float) -> float:
-        """Return the seconds until a call may be tried, zero for now."""
-        if self.is_open:
+        """Return the seconds until a call may be tried; zero means at once."""
+        if self.is_closed:
             return 0.0
-        return max(0.0, self._shut_until - now, self._probing_until - now)
+        return max(0.0, self._open_until - now, self._probing_until - now)
 
     def begin(self, *, now: float, timeout: float) -> None:
-        """Learn that a call begins; behind a shut gate it is the probe.
+        """Note that a call begins; while the circuit is open it is the probe.
 
-        A probe whose end is never told holds others back for no longer
-        than its timeout in seconds.
+        If the probe's outcome is never reported, other calls are held back only
+        for its `timeout` in seconds.
         """
-        if not self.is_open:
+        if not self.is_closed:
             self._probing_until = now + timeout
 
     def succeed(self) -> None:
-        """Learn that a call was answered: open the gate."""
+        """Note that a call was answered, and close the circuit."""
         self._failures = 0
         self._probing_until = 0.0
         self._backoff.reset()
 
     def fail(self, *, now: float, jitter: float, retry_after: float = 0.0) -> None:
-        """Learn that a call wasn't answered; perhaps shut the gate.
+        """Note that a call failed, and open the circuit after several failures.
 
-        `retry_after` is what the platform itself asked for.
+        `retry_after` is the delay in seconds that the platform asked for; it opens
+        the circuit at once.
         """
-        # Calls that were under way together fail together: they count as
-        # one failure, or a single short cut would look like a long outage.
-        if now < self._shut_until:
+        # Calls that are in flight together fail together.  They count as one
+        # failure, or a brief interruption would look like a long outage.
+        if now < self._open_until:
             return
         self._failures += 1
         self._probing_until = 0.0
-        if not self.is_open or retry_after:
-            self._failures = max(self._failures, FAILURES_BEFORE_PAUSE)
+        if not self.is_closed or retry_after:
+            self._failures = max(self._failures, FAILURES_BEFORE_OPEN)
             delay = self._backoff.next_delay(jitter=jitter)
             spread = retry_after * (1.0 + jitter)
-            self._shut_until = now + max(delay, spread)
+            self._open_until = now + max(delay, spread)
--- a/eelgrassrack/store/client.py
+++ b/eelgrassrack/store/client.py
@@ -1,7 +1,7 @@
-"""The object API over HTTP.
+"""HTTP client of the object API.
 
-Each daemon has one client.  Its calls come out of a budget, a gate holds
-them back while the platform keeps failing, and every failure becomes
+Each daemon has one client.  A token bucket limits its calls, a circuit breaker
+holds them back while the platform keeps failing, and every failure becomes
 `Unavailable`, which says whether a write may have taken effect.
 """
 
@@ -25,24 +25,24 @@
     Unchanged,
     Written,
 )
-from .replies import make_path, read_names, read_object, read_write, refuse
+from .replies import make_path, make_unavailable, read_names, read_object, read_write
 
 log = logbook.Logger("objects")
 
 CALL_SECONDS = 2.0
 
-# How much longer than the platform's own timeout a watch may take.
+# How much longer than the timeout given to the platform a watch may take.
 WATCH_EXTRA_SECONDS = 2.0
 
-# A daemon needs about one watch and a few writes a second; a hundred at
-# once lets it claim and pin during a burst of arrivals.
+# A daemon needs about one watch and a few writes a second.  A burst of a hundred
+# covers the claims and pins of a burst of arrivals.
 DEFAULT_PER_SECOND = 50.0
 DEFAULT_BURST = 100.0
 
-# The longest pause is the longest that a daemon stays away from a platform
-# which is back; the herd of a few hundred daemons spreads over half of it.
-BACKOFF_BASE = 0.1
-BACKOFF_MOST = 4.0
+# The maximum is also how long a daemon may keep away from a platform that is back.
+# The retries of a few hundred daemons spread over half of it.
+BACKOFF_BASE_SECONDS = 0.1
+BACKOFF_MAX_SECONDS = 4.0
 
 MAX_CLIENTS = 32
 CALLER_HEADER = "X-Caller"
@@ -51,20 +51,20 @@
 
 
 class HttpObjectStore:
-    """The `ObjectStore` protocol over the platform's HTTP.
+    """The `ObjectStore` protocol over HTTP.
 
-    `url` is the base address without `/objects`, `caller` names the
-    daemon to the platform, `jitter` returns numbers from 0 to 1 for the
-    jitter, `timeout` is how long a call may take in seconds.
+    `url` is the base address without `/objects`, `caller` identifies the daemon to
+    the platform, `jitter` returns random numbers from 0 to 1 for the backoff, and
+    `timeout` limits each call, in seconds.
     """
 
     __slots__ = (
+        "_breaker",
         "_budget",
-        "_chance",
         "_clock",
-        "_gate",
         "_headers",
         "_http",
+        "_jitter",
         "_timeout",
     )
 
@@ -74,7 +74,7 @@
         url: str,
         caller: str = "",
         budget: CallBudget | None = None,
-        gate: CircuitBreaker | None = None,
+        breaker: CircuitBreaker | None = None,
         clock: Callable[[], float] = time.monotonic,
         jitter: Callable[[], float] = random.random,
         timeout: float = CALL_SECONDS,
@@ -84,14 +84,14 @@
         self._budget = budget or CallBudget(
             per_second=DEFAULT_PER_SECOND, burst=DEFAULT_BURST
         )
-        backoff = Backoff(base=BACKOFF_BASE, most=BACKOFF_MOST)
-        self._gate = gate or CircuitBreaker(backoff=backoff)
+        backoff = Backoff(base=BACKOFF_BASE_SECONDS, maximum=BACKOFF_MAX_SECONDS)
+        self._breaker = breaker or CircuitBreaker(backoff=backoff)
         self._clock = clock
-        self._chance = jitter
+        self._jitter = jitter
         self._timeout = timeout
 
     def close(self) -> None:
-        """Close all connections; calls under way end as unavailable."""
+        """Close all connections; calls in flight return `Unavailable`."""
         self._http.close()
 
     async def read(self, *, kind: str, name: str) -> Found | Absent | Unavailable:
@@ -102,7 +102,7 @@
     async def create(
         self, *, kind: str, name: str, body: bytes
     ) -> Written | Conflict | Unavailable:
-        """Make an object that must not exist yet."""
+        """Create an object that must not exist yet."""
         return await self._write(
             path=make_path(kind, name), condition={"If-None-Match": "*"}, body=body
         )
@@ -110,7 +110,7 @@
     async def replace(
         self, *, kind: str, name: str, body: bytes, version: int
     ) -> Written | Conflict | Unavailable:
-        """Change an object that must still have this version."""
+        """Replace an object that must still have this version."""
         return await self._write(
             path=make_path(kind, name),
             condition={"If-Match": f'"{version}"'},
@@ -133,13 +133,12 @@
     ) -> Found | Absent | Unchanged | Unavailable:
         """Wait until an object has another version than this one.
 
-        Changes made while nobody watched show at once, since the platform
-        compares versions.  The wait ends early, unchanged, when it is the
-        first call after failures.
+        Since the platform compares versions, a change that was made while nobody
+        watched is returned at once.  As the probe of an open circuit, the watch
+        doesn't wait and may return `Unchanged` early.
         """
-        # The first call behind a shut gate holds all others back until it
-        # ends, so it must not be a long one.
-        wait = timeout if self._gate.is_open else 0.0
+        # The probe holds back all other calls until it ends, so it must be short.
+        wait = timeout if self._breaker.is_closed else 0.0
         answer = await self._call(
             path=f"{make_path(kind, name)}?watch={version}&timeout={wait}",
             timeout=wait + WATCH_EXTRA_SECONDS,
@@ -159,7 +158,7 @@
             case Answer(status=200, body=body):
                 return read_names(body)
             case Answer():
-                return refuse(answer)
+                return make_unavailable(answer)
             case Unavailable():
                 return answer
 
@@ -181,10 +180,10 @@
         timeout: float | None = None,
     ) -> Answer | Unavailable:
         timeout = self._timeout if timeout is None else timeout
-        held = self._hold(now=self._clock())
-        if held is not None:
-            return held
-        self._gate.begin(now=self._clock(), timeout=timeout)
+        refused = self._check_limits(now=self._clock())
+        if refused is not None:
+            return refused
+        self._breaker.begin(now=self._clock(), timeout=timeout)
         is_read = method == "GET"
         outcome = await self._http.fetch(
             path=path,
@@ -194,10 +193,11 @@
             timeout=timeout,
             repeatable=is_read,
         )
-        return self._note(outcome, is_read=is_read)
+        return self._record_outcome(outcome, is_read=is_read)
 
-    def _hold(self, *, now: float) -> Unavailable | None:
-        wait = self._gate.find_wait(now=now)
+    def _check_limits(self, *, now: float) -> Unavailable | None:
+        """Take a token for one call, or return why it isn't admitted."""
+        wait = self._breaker.find_wait(now=now)
         if wait:
             return Unavailable(reason="waiting after failures", retry_after=wait)
         if not self._budget.admit(now=now):
@@ -205,22 +205,23 @@
             return Unavailable(reason="call budget is spent", retry_after=wait)
         return None
 
-    def _note(
+    def _record_outcome(
         self, outcome: Answer | NoAnswer, *, is_read: bool
     ) -> Answer | Unavailable:
+        """Report the outcome of a call to the breaker and return its result."""
         match outcome:
             case Answer(status=status) if status == TOO_MANY_REQUESTS:
-                refused = refuse(outcome)
+                refused = make_unavailable(outcome)
                 self._fail(retry_after=refused.retry_after)
                 return refused
             case Answer(status=status) if status >= FIRST_SERVER_ERROR:
                 self._fail()
-                # A gateway may answer so after the write got through.
+                # A proxy may respond with 5xx after the write reached the platform.
                 return msgspec.structs.replace(
-                    refuse(outcome), maybe_written=not is_read
+                    make_unavailable(outcome), maybe_written=not is_read
                 )
             case Answer():
-                self._gate.succeed()
+                self._breaker.succeed()
                 return outcome
             case NoAnswer(reason=reason, sent=sent):
                 self._fail()
@@ -228,6 +229,6 @@
                 return Unavailable(reason=reason, maybe_written=sent and not is_read)
 
     def _fail(self, *, retry_after: float = 0.0) -> None:
-        self._gate.fail(
-            now=self._clock(), jitter=self._chance(), retry_after=retry_after
+        self._breaker.fail(
+            now=self._clock(), jitter=self._jitter(), retry_after=retry_after
         )
--- a/eelgrassrack/store/errors.py
+++ b/eelgrassrack/store/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the layer that keeps records in the platform's object API."""
+"""Errors of the layer that stores records in the platform's object API."""
 
 from ..errors import EelgrassrackError
 
 
 class StoreError(EelgrassrackError):
-    """The store layer can't be used as it was asked to be."""
+    """The caller asked for something that the store layer can't do."""
 
 
 class AddressError(StoreError):
-    """An address of the platform isn't an HTTP URL."""
+    """A configured platform address isn't an HTTP URL."""
--- a/eelgrassrack/store/http.py
+++ b/eelgrassrack/store/http.py
@@ -1,4 +1,4 @@
-"""HTTP to the platform by tornado's curl client, with typed outcomes."""
+"""HTTP client for the platform, on tornado's curl client, with typed outcomes."""
 
 import asyncio
 import urllib.parse
@@ -12,7 +12,7 @@
 
 CONNECT_SECONDS = 1.0
 
-# Curl's errors that come before the first byte of a request is sent.
+# Curl errors that occur before the first byte of a request is sent.
 UNSENT_ERRORS = frozenset(
     {
         pycurl.E_COULDNT_RESOLVE_HOST,
@@ -23,7 +23,7 @@
 
 
 class Answer(msgspec.Struct, kw_only=True, frozen=True):
-    """A whole HTTP response; the names in `headers` are in lower case."""
+    """A complete HTTP response; the names in `headers` are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -31,14 +31,14 @@
 
 
 class NoAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """No whole response came; `sent` if the request may have arrived."""
+    """No complete response arrived; `sent` is true if the request may have arrived."""
 
     reason: str
     sent: bool
 
 
 class Pieces:
-    """The pieces of an answer's body as they come."""
+    """The pieces of a response body received so far."""
 
     __slots__ = ("_pieces",)
 
@@ -47,11 +47,11 @@
 
     @property
     def count(self) -> int:
-        """Return how many have come."""
+        """Return how many pieces have been received."""
         return len(self._pieces)
 
     def add(self, piece: bytes) -> None:
-        """Take one."""
+        """Append a piece."""
         self._pieces.append(piece)
 
     def join(self) -> bytes:
@@ -60,7 +60,10 @@
 
 
 class HttpCaller:
-    """Send requests to one base URL; a call never raises for a failure."""
+    """Send requests to one base URL.
+
+    A failed call returns `NoAnswer` and raises nothing.
+    """
 
     __slots__ = ("_client", "_closing", "_max_clients", "_url")
 
@@ -86,8 +89,8 @@
     ) -> Answer | NoAnswer:
         """Send one request and return its response, within `timeout` seconds.
 
-        A request that isn't `repeatable` is sent once at most.  With `stall` an
-        answer is given up as soon as no byte of it came for so many seconds.
+        A request that isn't `repeatable` is sent at most once.  With `stall`, the
+        call fails after that many seconds without a byte of the response.
         """
         if self._closing is not None and self._closing.done():
             return NoAnswer(reason="closed", sent=False)
@@ -99,35 +102,37 @@
             request_timeout=timeout,
             connect_timeout=min(timeout, CONNECT_SECONDS),
             follow_redirects=False,
-            prepare_curl_callback=use_any_connection if repeatable else use_new_one,
+            prepare_curl_callback=(
+                reuse_connection if repeatable else force_new_connection
+            ),
         )
-        pieces = Pieces()
+        received = Pieces()
         if stall is not None:
-            request.streaming_callback = pieces.add
+            request.streaming_callback = received.add
         fetching = self._open().fetch(request, raise_error=False)
-        fetching.add_done_callback(retrieve)
-        await self._wait(fetching, pieces, stall)
+        fetching.add_done_callback(consume_error)
+        await self._wait(fetching, received, stall)
         if fetching.done():
-            return read_outcome(fetching, pieces.join())
+            return read_outcome(fetching, received.join())
         reason = "closed" if self._closing.done() else "silent"
         return NoAnswer(reason=reason, sent=True)
 
     async def _wait(
-        self, fetching: asyncio.Future, pieces: "Pieces", stall: float | None
+        self, fetching: asyncio.Future, received: "Pieces", stall: float | None
     ) -> None:
-        """Wait until a call is over, stalls, or all of them are closed."""
+        """Wait until the call ends or stalls, or the client is closed."""
         ends = {fetching, self._closing}
         count = -1
-        while count < pieces.count and not any(end.done() for end in ends):
-            count = pieces.count
+        while count < received.count and not any(end.done() for end in ends):
+            count = received.count
             await asyncio.wait(ends, timeout=stall, return_when=asyncio.FIRST_COMPLETED)
 
     def close(self) -> None:
-        """Close all connections; calls under way end without an answer."""
+        """Close all connections; calls in flight return `NoAnswer`."""
         if self._client is None or self._closing.done():
             return
-        # Tornado's client never ends the calls that it held when closed:
-        # a daemon that stops would wait for its own watches for ever.
+        # Tornado's client never completes the calls that are pending when it is
+        # closed.  A stopping daemon would wait forever for its own watches.
         self._closing.set_result(None)
         self._client.close()
 
@@ -138,36 +143,38 @@
         return self._client
 
 
-def use_any_connection(curl: pycurl.Curl) -> None:
-    """Let curl send the request over a connection it kept."""
-    use_no_proxy(curl)
+def reuse_connection(curl: pycurl.Curl) -> None:
+    """Let curl reuse a kept-alive connection for the request."""
+    disable_proxy(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 0)
 
 
-def use_new_one(curl: pycurl.Curl) -> None:
-    """Make curl send the request over a connection of its own.
+def force_new_connection(curl: pycurl.Curl) -> None:
+    """Make curl send the request over a new connection.
 
-    When a kept connection closes before an answer, curl takes it for
-    stale and sends the request again by itself.  A conditional write whose
-    first sending took effect would then look like a conflict with another
-    writer.  On a new connection curl doesn't repeat, so that the lost
-    answer shows as what it is.
+    If a reused connection closes before the response, curl assumes that it was
+    stale and resends the request.  If the first copy of a conditional write took
+    effect, its resend would look like a conflict with another writer.  On a new
+    connection curl doesn't resend, so a lost answer is reported as one.
     """
-    use_no_proxy(curl)
+    disable_proxy(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 1)
 
 
-def use_no_proxy(curl: pycurl.Curl) -> None:
-    """Make curl pay no heed to proxies named in the environment.
+def disable_proxy(curl: pycurl.Curl) -> None:
+    """Make curl ignore proxies configured in the environment.
 
-    A proxy may send a request again or answer in the platform's stead,
-    and then what an error says about a write isn't true any more.
+    A proxy may resend a request or respond in the platform's place.  An error would
+    then no longer tell reliably whether a write took effect.
     """
     curl.setopt(pycurl.NOPROXY, "*")
 
 
-def retrieve(fetching: "asyncio.Future[HTTPResponse]") -> None:
-    """Look at a call's error, which its cancelled caller never will."""
+def consume_error(fetching: "asyncio.Future[HTTPResponse]") -> None:
+    """Retrieve a call's error, so that asyncio doesn't log it as never retrieved.
+
+    The caller doesn't retrieve it if it was cancelled.
+    """
     if not fetching.cancelled():
         fetching.exception()
 
@@ -175,7 +182,10 @@
 def read_outcome(
     fetching: "asyncio.Future[HTTPResponse]", body: bytes = b""
 ) -> Answer | NoAnswer:
-    """Turn the client's result or error into a value; `body` came in pieces."""
+    """Convert the client's result or error into an outcome.
+
+    `body` is the streamed body, which the client's result then lacks.
+    """
     error = fetching.exception()
     match error:
         case None:
--- a/eelgrassrack/store/instances.py
+++ b/eelgrassrack/store/instances.py
@@ -9,7 +9,7 @@
 
 from .objects import Unavailable
 
-# The longest a watch waits for a change before it is asked again.
+# How long one watch waits for a change before the next one starts.
 WATCH_SECONDS = 30.0
 
 
@@ -23,8 +23,8 @@
 class Instance(msgspec.Struct, kw_only=True, frozen=True):
     """One instance.
 
-    `mailbox` is the address (`tcp://IP:PORT`) where its entry or agent
-    takes messages.  `pool` is empty for an entry.
+    `mailbox` is the address (`tcp://IP:PORT`) where its entry or agent receives
+    messages.  `pool` is empty for an entry.
     """
 
     name: str
@@ -46,15 +46,18 @@
     """The call of the platform's instance list that this project uses."""
 
     async def watch(self, *, version: int, timeout: float) -> Listing | Unavailable:
-        """Return the list once it is newer than `version`, or at the timeout."""
+        """Return the list once it is newer than `version`, or at the timeout.
+
+        `timeout` is in seconds.
+        """
 
 
 async def follow_instances(
     *, instances: InstanceList, take: Callable[[tuple[Instance, ...]], None]
 ) -> None:
-    """Hand each new listing to `take`, for ever.
+    """Pass each new list of instances to `take`, forever.
 
-    While the list is away what was taken last stays in use.
+    While the instance list is unavailable, the last list stays in use.
     """
     version = 0
     while True:
--- a/eelgrassrack/store/metered.py
+++ b/eelgrassrack/store/metered.py
@@ -1,4 +1,4 @@
-"""The object API with each call counted and timed."""
+"""A wrapper that counts and times the calls to an object store."""
 
 from collections.abc import Awaitable
 from typing import TypeVar
@@ -24,7 +24,7 @@
 
 
 class MeteredStore:
-    """Pass calls on to a store and report them; watches aren't timed."""
+    """Forward calls to a store and report metrics; watches aren't timed."""
 
     __slots__ = ("_metrics", "_store")
 
@@ -39,14 +39,14 @@
     async def create(
         self, *, kind: str, name: str, body: bytes
     ) -> Written | Conflict | Unavailable:
-        """Make an object that must not exist yet."""
+        """Create an object that must not exist yet."""
         call = self._store.create(kind=kind, name=name, body=body)
         return await self._time("create", call)
 
     async def replace(
         self, *, kind: str, name: str, body: bytes, version: int
     ) -> Written | Conflict | Unavailable:
-        """Change an object that must still have this version."""
+        """Replace an object that must still have this version."""
         call = self._store.replace(kind=kind, name=name, body=body, version=version)
         return await self._time("replace", call)
 
--- a/eelgrassrack/store/objects.py
+++ b/eelgrassrack/store/objects.py
@@ -1,8 +1,8 @@
-"""What the platform's object API offers, as typed calls and results.
+"""The calls and results of the platform's object API.
 
-Every object has a kind, a name, a body of at most a megabyte and a
-version that grows with each change.  The results are data classes to
-`match` on; a call never raises for what the platform may do.
+Each object has a kind, a name, a body of at most one megabyte and a version that
+increases with each change.  The results are classes to `match` on.  A call raises
+no exception for a failure of the platform.
 """
 
 from typing import Protocol
@@ -20,7 +20,7 @@
 
 
 class Absent(msgspec.Struct, kw_only=True, frozen=True):
-    """There is no such object."""
+    """The object doesn't exist."""
 
 
 class Unchanged(msgspec.Struct, kw_only=True, frozen=True):
@@ -28,13 +28,13 @@
 
 
 class Written(msgspec.Struct, kw_only=True, frozen=True):
-    """A write took effect and made this version."""
+    """A write took effect and created this version."""
 
     version: int
 
 
 class Conflict(msgspec.Struct, kw_only=True, frozen=True):
-    """A conditional write found another version and changed nothing."""
+    """A conditional write met another version and changed nothing."""
 
 
 class Names(msgspec.Struct, kw_only=True, frozen=True):
@@ -44,10 +44,10 @@
 
 
 class Unavailable(msgspec.Struct, kw_only=True, frozen=True):
-    """The platform gave no usable answer.
+    """The platform gave no usable answer; retry after `retry_after` seconds.
 
-    After a write with `maybe_written` set the write may have taken
-    effect all the same; the writer has to read to find out.
+    If `maybe_written` is set, the write may still have taken effect, and the writer
+    must read the object to find out.
     """
 
     reason: str
@@ -64,12 +64,12 @@
     async def create(
         self, *, kind: str, name: str, body: bytes
     ) -> Written | Conflict | Unavailable:
-        """Make an object that must not exist yet."""
+        """Create an object that must not exist yet."""
 
     async def replace(
         self, *, kind: str, name: str, body: bytes, version: int
     ) -> Written | Conflict | Unavailable:
-        """Change an object that must still have this version."""
+        """Replace an object that must still have this version."""
 
     async def remove(
         self, *, kind: str, name: str, version: int
@@ -81,7 +81,7 @@
     ) -> Found | Absent | Unchanged | Unavailable:
         """Wait until an object has another version than this one.
 
-        `version` is zero for an object that didn't exist.
+        `version` is zero for an object that didn't exist; `timeout` is in seconds.
         """
 
     async def find_names(self, *, kind: str, prefix: str) -> Names | Unavailable:
--- a/eelgrassrack/store/platform.py
+++ b/eelgrassrack/store/platform.py
@@ -1,4 +1,4 @@
-"""The platform's instance list and rating service over HTTP."""
+"""HTTP clients of the platform's instance list and rating service."""
 
 import asyncio
 import random
@@ -14,34 +14,37 @@
 WATCH_EXTRA_SECONDS = 2.0
 MAX_INSTANCE_CALLS = 2
 MAX_RATING_CALLS = 64
-BACKOFF_BASE = 0.1
-BACKOFF_MOST = 4.0
+BACKOFF_BASE_SECONDS = 0.1
+BACKOFF_MAX_SECONDS = 4.0
 
 
 class HttpInstanceList:
-    """The `InstanceList` protocol over the platform's HTTP.
+    """The `InstanceList` protocol over HTTP.
 
-    After a failure the next watch first waits for a jittered pause, so
-    that a caller in a loop neither spins while the list is away nor comes
-    back together with all others.
+    After a failure the next watch first waits for a backoff with jitter.  So a
+    caller in a loop neither spins while the list is unavailable nor retries at the
+    same time as all others.  `jitter` returns random numbers from 0 to 1.
     """
 
-    __slots__ = ("_backoff", "_chance", "_http", "_pause")
+    __slots__ = ("_backoff", "_http", "_jitter", "_pause")
 
     def __init__(
         self, *, url: str, jitter: Callable[[], float] = random.random
     ) -> None:
         self._http = HttpCaller(url=url, max_clients=MAX_INSTANCE_CALLS)
-        self._backoff = Backoff(base=BACKOFF_BASE, most=BACKOFF_MOST)
-        self._chance = jitter
+        self._backoff = Backoff(base=BACKOFF_BASE_SECONDS, maximum=BACKOFF_MAX_SECONDS)
+        self._jitter = jitter
         self._pause = 0.0
 
     def close(self) -> None:
-        """Close all connections; a watch under way ends as unavailable."""
+        """Close all connections; a pending watch returns `Unavailable`."""
         self._http.close()
 
     async def watch(self, *, version: int, timeout: float) -> Listing | Unavailable:
-        """Return the list once it is newer than `version`, or at the timeout."""
+        """Return the list once it is newer than `version`, or at the timeout.
+
+        `timeout` is in seconds.
+        """
         if self._pause:
             await asyncio.sleep(self._pause)
         outcome = await self._http.fetch(
@@ -54,12 +57,12 @@
                 self._pause = 0.0
                 self._backoff.reset()
             case Unavailable():
-                self._pause = self._backoff.next_delay(jitter=self._chance())
+                self._pause = self._backoff.next_delay(jitter=self._jitter())
         return result
 
 
 def read_watch(outcome: Answer | NoAnswer) -> Listing | Unavailable:
-    """Turn the outcome of a watch into a result."""
+    """Convert the outcome of a watch into a result."""
     match outcome:
         case NoAnswer(reason=reason):
             return Unavailable(reason=reason)
@@ -70,7 +73,7 @@
 
 
 def read_listing(body: bytes) -> Listing | Unavailable:
-    """Read the list of instances."""
+    """Decode the list of instances."""
     try:
         return msgspec.json.decode(body, type=Listing)
     except msgspec.DecodeError as error:
@@ -84,13 +87,13 @@
 
 
 class NotRated(msgspec.Struct, kw_only=True, frozen=True):
-    """There is no rating."""
+    """The answer wasn't rated, for this reason."""
 
     reason: str
 
 
 class RatingRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """What the rating service wants to know."""
+    """The body of a request to the rating service."""
 
     kind: str
     version: str
@@ -107,7 +110,7 @@
         self._http = HttpCaller(url=url, max_clients=MAX_RATING_CALLS)
 
     def close(self) -> None:
-        """Close all connections; calls under way end without a rating."""
+        """Close all connections; calls in flight return `NotRated`."""
         self._http.close()
 
     async def rate(
@@ -115,7 +118,7 @@
     ) -> Rated | NotRated:
         """Return the rating of an answer, within `timeout` seconds.
 
-        `model` names the model or version that gave the answer.
+        `model` names the model or version that generated the answer.
         """
         request = RatingRequest(kind=kind, version=model, prompt=prompt, answer=answer)
         outcome = await self._http.fetch(
@@ -135,7 +138,7 @@
 
 
 def read_rating(body: bytes) -> Rated | NotRated:
-    """Read a rating; one out of range is none."""
+    """Decode a rating; one out of range becomes `NotRated`."""
     try:
         rated = msgspec.json.decode(body, type=Rated)
     except msgspec.DecodeError as error:
--- a/eelgrassrack/store/records.py
+++ b/eelgrassrack/store/records.py
@@ -1,10 +1,9 @@
-"""Typed records in the object API, written so that a lost answer is noticed.
+"""Typed records in the object API, with writes that cope with lost answers.
 
-A write's answer can be lost after the write took effect.  Whoever takes
-that for a failure and writes anew does the thing twice; whoever takes it
-for a success may have done nothing.  `put_record` therefore reads back
-and recognises its own write by a mark in the record that nobody else's
-record has.
+The answer to a write can be lost after the write took effect.  A writer that
+assumes failure and writes again acts twice; one that assumes success may not have
+acted at all.  `put_record` therefore reads the object back, and recognises its own
+write by content that no other writer's record has.
 """
 
 from collections.abc import Callable
@@ -25,10 +24,10 @@
 
 Record = TypeVar("Record", bound=msgspec.Struct)
 
-# The version that stands for "must not exist yet".
+# Passed as a version, this means that the object must not exist yet.
 NEW = 0
 
-# A store whose answers get lost more often than this in a row is down.
+# A store that loses this many answers in a row is considered down.
 WRITE_TRIES = 3
 
 _encoder = msgspec.msgpack.Encoder()
@@ -42,16 +41,16 @@
 
 
 class RecordWritten(msgspec.Struct, kw_only=True, frozen=True):
-    """The write took effect and the object still holds it."""
+    """The write took effect and the object still holds the record."""
 
     version: int
 
 
 class RecordConflict(msgspec.Struct, Generic[Record], kw_only=True, frozen=True):
-    """The object holds another record than the writer's.
+    """The object holds a different record than the writer's, or is gone.
 
-    The writer's own may have stood there for a while before, unless
-    `tried` is false.
+    If `tried` is true, the writer's record may have been stored for a while and
+    then replaced.
     """
 
     found: VersionedRecord[Record] | Absent
@@ -59,7 +58,7 @@
 
 
 def encode_record(record: msgspec.Struct) -> bytes:
-    """Return a record as bytes, raising `StoreError` when it is too large."""
+    """Encode a record; raise `StoreError` if it is too large."""
     body = _encoder.encode(record)
     if len(body) > MAX_BODY_BYTES:
         raise StoreError(f"a {type(record).__name__} of {len(body)} bytes is too large")
@@ -67,7 +66,7 @@
 
 
 def decode_record(body: bytes, kind: type[Record]) -> Record | None:
-    """Return the record that the bytes hold, or None if they hold none."""
+    """Decode a record; return None if the bytes are malformed."""
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -77,7 +76,7 @@
 async def read_record(
     *, store: ObjectStore, kind: str, name: str, record: type[Record]
 ) -> VersionedRecord[Record] | Absent | Unavailable:
-    """Return an object as a typed record."""
+    """Read an object as a typed record."""
     match await store.read(kind=kind, name=name):
         case Found(body=body, version=version):
             read = decode_record(body, record)
@@ -99,9 +98,9 @@
 ) -> RecordWritten | RecordConflict[Record] | Unavailable:
     """Create the object (version `NEW`) or replace it at a version.
 
-    `is_own` recognises this very write in a record read back.  After an
-    unclear answer the same write is sent again: it can't take effect
-    twice, because the first time changes the version.
+    `is_own` returns whether a record that was read back is from this write.  If it
+    is unclear whether the write took effect, it is sent again.  It can't take
+    effect twice, because the first time changes the version.
     """
     body = encode_record(record)
     unclear = False
--- a/eelgrassrack/store/replies.py
+++ b/eelgrassrack/store/replies.py
@@ -1,4 +1,4 @@
-"""The object API's paths and replies, turned into typed results."""
+"""Paths of the object API, and conversion of its responses into typed results."""
 
 import re
 from urllib.parse import quote
@@ -10,18 +10,18 @@
 
 
 def make_path(kind: str, name: str) -> str:
-    """Return an object's path; slashes in its name are quoted."""
+    """Return an object's path; slashes in its name are percent-encoded."""
     return f"/objects/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
 def read_version(answer: Answer) -> int | None:
-    """Return the version in an answer's `ETag`, if it has one."""
+    """Return the version from a response's `ETag` header, or None."""
     found = re.fullmatch(r'"(\d+)"', answer.headers.get("etag", ""))
     return int(found.group(1)) if found else None
 
 
 def read_object(answer: Answer | Unavailable) -> Found | Absent | Unavailable:
-    """Turn the answer to a read into a result."""
+    """Convert the response to a read into a result."""
     match answer:
         case Unavailable():
             return answer
@@ -33,11 +33,11 @@
                 return Unavailable(reason="an object without a version")
             return Found(body=body, version=version)
         case _:
-            return refuse(answer)
+            return make_unavailable(answer)
 
 
 def read_write(answer: Answer | Unavailable) -> Written | Conflict | Unavailable:
-    """Turn the answer to a conditional write into a result."""
+    """Convert the response to a conditional write into a result."""
     match answer:
         case Unavailable():
             return answer
@@ -51,11 +51,11 @@
                 )
             return Written(version=version)
         case _:
-            return refuse(answer)
+            return make_unavailable(answer)
 
 
 def read_names(body: bytes) -> Names | Unavailable:
-    """Read the list of names."""
+    """Decode a list of names."""
     try:
         names = msgspec.json.decode(body, type=tuple[str, ...])
     except msgspec.DecodeError as error:
@@ -63,8 +63,8 @@
     return Names(names=names)
 
 
-def refuse(answer: Answer) -> Unavailable:
-    """Turn a status that means a refusal into a result."""
+def make_unavailable(answer: Answer) -> Unavailable:
+    """Convert an error response into a result."""
     reason = f"status {answer.status}"
     try:
         retry_after = float(answer.headers["retry-after"])
--- a/eelgrassrack/store/texts.py
+++ b/eelgrassrack/store/texts.py
@@ -1,8 +1,8 @@
-"""Texts of the document's sections, immutable and named by their digest.
+"""Texts of the document's sections, stored as immutable, content-addressed objects.
 
-A change writes the new texts before the head that refers to them, so a
-head never refers to a text that isn't there.  A daemon that follows the
-document reads only the texts that it doesn't have yet.
+A change writes the new texts before the head that refers to them, so a head never
+refers to a missing text.  A daemon that follows the document reads only the texts
+that it doesn't have yet.
 """
 
 import asyncio
@@ -24,30 +24,30 @@
 
 KIND = "sections"
 
-# Texts are read and written in groups of this size.
-AT_ONCE = 16
+# How many texts are read or written concurrently.
+CONCURRENCY = 16
 
 
 def digest_text(text: str) -> str:
-    """Return the name of a section's text."""
+    """Return the object name of a section's text, its SHA-256 digest."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 class SectionTexts:
-    """Read and write section texts, keeping those of one document."""
+    """Read and write section texts, caching those of one document."""
 
-    __slots__ = ("_known", "_store")
+    __slots__ = ("_cache", "_store")
 
     def __init__(self, *, store: ObjectStore) -> None:
         self._store = store
-        self._known: dict[str, str] = {}
+        self._cache: dict[str, str] = {}
 
     async def read(self, *, digests: Iterable[str]) -> dict[str, str] | Unavailable:
-        """Return texts by digest, and forget all others."""
+        """Return texts by digest, and drop all others from the cache."""
         wanted = dict.fromkeys(digests)
-        texts = {name: self._known[name] for name in wanted if name in self._known}
+        texts = {name: self._cache[name] for name in wanted if name in self._cache}
         missing = iter([name for name in wanted if name not in texts])
-        while group := tuple(itertools.islice(missing, AT_ONCE)):
+        while group := tuple(itertools.islice(missing, CONCURRENCY)):
             found = await asyncio.gather(*(self._read_one(name) for name in group))
             read = {
                 name: text
@@ -55,19 +55,19 @@
                 if not isinstance(text, Unavailable)
             }
             texts |= read
-            # What was read is kept after a failure: begun anew each time, a
-            # long document would never be read to its end.
-            self._known |= read
+            # Keep what was read even if a read failed.  Otherwise each retry would
+            # start over, and a long document might never be read completely.
+            self._cache |= read
             if len(read) < len(group):
                 return next(text for text in found if isinstance(text, Unavailable))
-        self._known = texts
+        self._cache = texts
         return texts
 
     async def write(self, *, texts: Iterable[str]) -> Unavailable | None:
-        """Write texts, raising `StoreError` when one is too large."""
+        """Write texts; raise `StoreError` if one is too large."""
         new = {digest_text(text): text for text in texts}
-        wanted = iter([name for name in new if name not in self._known])
-        while group := tuple(itertools.islice(wanted, AT_ONCE)):
+        wanted = iter([name for name in new if name not in self._cache])
+        while group := tuple(itertools.islice(wanted, CONCURRENCY)):
             results = await asyncio.gather(
                 *(self._write_one(name, new[name]) for name in group)
             )
@@ -86,7 +86,10 @@
                 return unavailable
 
     async def _write_one(self, name: str, text: str) -> Unavailable | None:
-        """Write one text; whoever wrote it, the name vouches for it."""
+        """Write one text.
+
+        An object that already exists has the same content, as its name is a digest.
+        """
         body = text.encode()
         if len(body) > MAX_BODY_BYTES:
             raise StoreError(f"a section of {len(body)} bytes is too large")
@@ -101,5 +104,5 @@
             case Written() | Conflict():
                 return None
             case Unavailable(reason=reason, retry_after=retry_after):
-                # The head doesn't refer to the text yet: nothing has changed.
+                # The head doesn't refer to the text yet, so nothing has changed.
                 return Unavailable(reason=reason, retry_after=retry_after)
--- a/test/store/test_budget.py
+++ b/test/store/test_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the call budget, the backoff and the gate."""
+"""Tests of the call budget, the backoff and the circuit breaker."""
 
 import itertools
 import random
@@ -42,76 +42,78 @@
     assert budget.admit(now=51.0)
 
 
-def test_delays_double_to_the_most_and_begin_anew_after_a_success():
-    backoff = Backoff(base=1.0, most=4.0)
+def test_delays_double_to_the_maximum_and_restart_after_a_success():
+    backoff = Backoff(base=1.0, maximum=4.0)
     assert [backoff.next_delay(jitter=1.0) for _ in range(4)] == [1.0, 2.0, 4.0, 4.0]
     assert backoff.next_delay(jitter=0.0) == 2.0
     backoff.reset()
     assert backoff.next_delay(jitter=1.0) == 1.0
 
 
-def make_shut_gate(*, now):
-    gate = CircuitBreaker(backoff=Backoff(base=1.0, most=4.0))
+def make_open_breaker(*, now):
+    breaker = CircuitBreaker(backoff=Backoff(base=1.0, maximum=4.0))
     for _ in range(3):
-        assert gate.find_wait(now=now) == 0.0
-        gate.fail(now=now, jitter=1.0)
-    return gate
+        assert breaker.find_wait(now=now) == 0.0
+        breaker.fail(now=now, jitter=1.0)
+    return breaker
 
 
-def test_a_shut_gate_lets_one_probe_through_and_opens_on_its_success():
-    gate = make_shut_gate(now=10.0)
-    assert gate.find_wait(now=10.0) == 1.0
-    assert gate.find_wait(now=11.0) == 0.0
-    gate.begin(now=11.0, timeout=2.0)
-    assert gate.find_wait(now=11.5) == 1.5
-    gate.succeed()
-    assert gate.find_wait(now=11.5) == 0.0
-    assert gate.is_open
+def test_an_open_breaker_admits_one_probe_and_closes_on_its_success():
+    breaker = make_open_breaker(now=10.0)
+    assert breaker.find_wait(now=10.0) == 1.0
+    assert breaker.find_wait(now=11.0) == 0.0
+    breaker.begin(now=11.0, timeout=2.0)
+    assert breaker.find_wait(now=11.5) == 1.5
+    breaker.succeed()
+    assert breaker.find_wait(now=11.5) == 0.0
+    assert breaker.is_closed
 
 
-def test_a_probe_that_was_cancelled_shuts_nobody_out_for_good():
-    """The task that probes is cancelled and never tells how it ended.
+def test_a_cancelled_probe_does_not_block_calls_forever():
+    """The task that makes the probe call is cancelled and never reports its outcome.
 
-    If the others waited for its word the daemon would never call the
-    platform again, though that is back.
+    If other calls waited for that report, the daemon would never call the platform
+    again, although it is back.
     """
-    gate = make_shut_gate(now=10.0)
-    gate.begin(now=11.0, timeout=2.0)
-    assert gate.find_wait(now=13.0) == 0.0
+    breaker = make_open_breaker(now=10.0)
+    breaker.begin(now=11.0, timeout=2.0)
+    assert breaker.find_wait(now=13.0) == 0.0
 
 
-def test_a_platform_that_names_a_time_is_left_alone_until_then():
-    gate = CircuitBreaker(backoff=Backoff(base=0.1, most=4.0))
-    gate.fail(now=10.0, jitter=0.0, retry_after=5.0)
-    assert gate.find_wait(now=10.0) == 5.0
+def test_retry_after_is_respected():
+    breaker = CircuitBreaker(backoff=Backoff(base=0.1, maximum=4.0))
+    breaker.fail(now=10.0, jitter=0.0, retry_after=5.0)
+    assert breaker.find_wait(now=10.0) == 5.0
 
 
-def simulate_return(*, daemons, chances):
+def simulate_return(*, daemons, jitters):
     """Return when each daemon first calls after an outage of a minute."""
     returned = []
     for _ in range(daemons):
-        gate = CircuitBreaker(backoff=Backoff(base=0.1, most=4.0))
+        breaker = CircuitBreaker(backoff=Backoff(base=0.1, maximum=4.0))
         now = 0.0
         while now < 60.0:
-            gate.fail(now=now, jitter=next(chances))
-            now += gate.find_wait(now=now) or 0.01
+            breaker.fail(now=now, jitter=next(jitters))
+            now += breaker.find_wait(now=now) or 0.01
         returned.append(now)
     return returned
 
 
-def test_an_outage_does_not_end_in_a_herd():
+def test_an_outage_does_not_end_in_a_thundering_herd():
     """All daemons lose the platform at once, and it comes back at once.
 
-    Had they no jitter they would all call in the same instant and bring
-    it down again; users would see one outage after another.
+    Without jitter they would all call in the same instant and bring it down again.
+    Users would see one outage after another.
     """
     draw = random.Random(7)
-    spread = simulate_return(daemons=380, chances=iter(draw.random, None))
-    together = simulate_return(daemons=380, chances=itertools.repeat(0.5))
+    spread = simulate_return(daemons=380, jitters=iter(draw.random, None))
+    together = simulate_return(daemons=380, jitters=itertools.repeat(0.5))
 
-    def most_in_a_tenth(times):
-        return max(sum(at <= each < at + 0.1 for each in times) for at in times)
+    def find_peak_per_tenth(times):
+        return max(
+            sum(start <= time < start + 0.1 for time in times) for start in times
+        )
 
-    assert most_in_a_tenth(together) == 380
-    assert most_in_a_tenth(spread) < 60
+    assert find_peak_per_tenth(together) == 380
+    assert find_peak_per_tenth(spread) < 60
     assert max(spread) <= 64.0
--- a/test/store/test_client.py
+++ b/test/store/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the object API's client over HTTP, under each fault."""
+"""Tests of the HTTP client of the object API, without and with faults."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 class Platform:
-    """A table, its server and a client whose clock the test turns."""
+    """An object table, its server and a client, on a clock that the test sets."""
 
     def __init__(self):
         self.now = 1000.0
@@ -127,11 +127,11 @@
     run(scenario)
 
 
-def test_a_lost_answer_is_told_as_maybe_written_and_sent_only_once():
+def test_a_lost_answer_is_maybe_written_and_sent_only_once():
     """A write takes effect and the connection closes before its answer.
 
-    A client that sent it again by itself would be told of a conflict with
-    its own write: a request would be refused as another's, or run twice.
+    If the client resent the write by itself, it would get a conflict with its own
+    write.  A request would then be refused as another's, or run twice.
     """
 
     async def scenario(platform, client):
@@ -157,10 +157,10 @@
 
 @pytest.mark.parametrize("fault", ["503", "dropped", "refused"])
 def test_an_outage_makes_every_call_unavailable_and_then_passes(fault):
-    """The object API goes away: it answers 503, hangs up or refuses.
+    """The object API fails: it responds 503, drops connections or refuses them.
 
-    A caller of a request that may not be repeated is refused; what it is
-    told must not claim more than the client knows.
+    The caller of a request that must not be repeated is refused.  What it is told must
+    not claim more than the client knows.
     """
 
     async def scenario(platform, client):
@@ -184,10 +184,10 @@
 
 
 def test_a_long_outage_costs_few_calls():
-    """The object API stays away while a busy daemon keeps asking.
+    """The object API stays unavailable while a busy daemon keeps calling it.
 
-    Each call would wait for its own timeout, and the platform would meet
-    them all when it returns.
+    Otherwise each call would wait for its own timeout, and the platform would receive
+    all of them when it returns.
     """
 
     async def scenario(platform, client):
@@ -195,7 +195,7 @@
         for _ in range(200):
             assert isinstance(await read(client), Unavailable)
             platform.now += 0.05
-        # Ten seconds: three calls to shut the gate, then one a pause.
+        # Ten seconds: three calls until the circuit opens, then one for each pause.
         assert platform.table.count_calls(caller="entry-1") < 15
         platform.table.outage = False
         platform.now += 4.0
@@ -205,7 +205,7 @@
 
 
 def test_a_platform_too_slow_is_unavailable():
-    """The object API hangs; nobody knows whether the write took effect."""
+    """The object API hangs; it is unknown whether the write took effect."""
 
     async def scenario(platform, client):
         platform.table.delay = 600.0
@@ -217,7 +217,7 @@
 
 
 def test_a_refusal_for_too_many_calls_is_heeded():
-    """The whole fleet together calls more often than the platform takes."""
+    """The whole fleet calls more often than the platform allows."""
 
     async def scenario(platform, client):
         platform.table.most_per_second = 1
@@ -226,8 +226,8 @@
         assert refused.retry_after == 1.0
         assert not refused.maybe_written
         calls = platform.table.count_calls(caller="entry-1")
-        held = await read(client)
-        assert 0 < held.retry_after <= 1.0
+        delayed = await read(client)
+        assert 0 < delayed.retry_after <= 1.0
         assert platform.table.count_calls(caller="entry-1") == calls
         platform.now += 1.0
         assert isinstance(await read(client), Absent)
@@ -236,9 +236,9 @@
 
 
 def test_a_watch_sees_what_changed_while_nobody_watched():
-    """The platform is away during changes and the watch ends.
+    """The platform fails and the watch ends, and the object changes meanwhile.
 
-    A client that waited for the next event would miss them, and an old
+    A client that waited for the next event would miss the change, and an old
     configuration would stay in force.
     """
 
@@ -280,7 +280,7 @@
 
 
 def test_closing_ends_a_watch_under_way():
-    """A daemon stops while its watch waits: it must not wait with it."""
+    """A daemon stops during a watch and must not wait for its end."""
 
     async def scenario(platform, client):
         watch = asyncio.ensure_future(
--- a/test/store/test_throttling.py
+++ b/test/store/test_throttling.py
@@ -1,16 +1,16 @@
-"""Tests that work on many objects outlasts the daemon's call budget."""
+"""Tests that operations on many objects succeed despite the daemon's call budget."""
 
 import asyncio
 
 from eelgrassrack.store.budget import CallBudget
 from eelgrassrack.store.objects import Unavailable
 from eelgrassrack.store.texts import SectionTexts, digest_text
-from eelgrassrack.store.throttling import LONGEST_WAIT, retry_throttled
+from eelgrassrack.store.throttling import MAX_WAIT_SECONDS, retry_throttled
 
 from .steps import make_store
 
 
-class Budgeted:
+class ThrottledStore:
     """An object store that refuses calls beyond a budget."""
 
     def __init__(self, budget):
@@ -29,8 +29,8 @@
 
 
 def test_long_document_is_written_and_read():
-    """A document has more sections than a daemon may make calls at once."""
-    store = Budgeted(CallBudget(per_second=400.0, burst=5.0))
+    """A document has more sections than the daemon's call budget holds."""
+    store = ThrottledStore(CallBudget(per_second=400.0, burst=5.0))
     texts = [f"[domain {number}]" for number in range(60)]
     digests = [digest_text(text) for text in texts]
 
@@ -42,8 +42,8 @@
 
 
 def test_progress_is_kept():
-    """The platform goes away while a long document is read."""
-    store = Budgeted(CallBudget(per_second=1e-6, burst=100.0))
+    """The platform becomes unavailable while a long document is read."""
+    store = ThrottledStore(CallBudget(per_second=1e-6, burst=100.0))
     texts = [f"[domain {number}]" for number in range(40)]
     digests = [digest_text(text) for text in texts]
 
@@ -61,12 +61,12 @@
 
 
 def test_outage_is_not_waited_out():
-    """The caller has to learn of an outage at once, and deals with it."""
+    """An outage must be returned to the caller at once, which handles it."""
     calls = []
 
     async def fail():
         calls.append(1)
-        return Unavailable(reason="outage", retry_after=LONGEST_WAIT * 2)
+        return Unavailable(reason="outage", retry_after=MAX_WAIT_SECONDS * 2)
 
     assert isinstance(asyncio.run(retry_throttled(fail)), Unavailable)
     assert len(calls) == 1
