--- a/eelgrassrack/store/audit.py
+++ b/eelgrassrack/store/audit.py
@@ -1,10 +1,9 @@
 """The audit trail: one entry for each revision of the document.
 
-An entry is written inside the document's head, by the same update that
-makes the change, and copied out afterwards.  The copy may fail, or its
-writer may be lost before it.  So whoever changes the head next first sees
-to the copy of the entry that it is about to overwrite, and no change is
-ever without one.
+The update that makes a change also writes its audit entry into the document's
+head.  The entry is copied to an object of its own afterwards.  Because that copy
+may fail, or its writer may crash first, the next change copies the entry again
+before it overwrites the head.  So every change has its entry in the trail.
 """
 
 import asyncio
@@ -25,23 +24,24 @@
 
 KIND = "audit"
 
-# Entries are read in groups of this size.
-READ_AT_ONCE = 32
+# How many entries are read concurrently.
+READ_CONCURRENCY = 32
 
 
 class Undo(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
-    """What a changed section was before, and its place among the others."""
+    """The earlier text (by digest) and position of a section that a change replaced."""
 
     name: tuple[str, str]
     digest: str
-    place: int
+    position: int
 
 
 class AuditEntry(msgspec.Struct, kw_only=True, frozen=True):
-    """Who changed what, and when (seconds since the epoch).
+    """Who changed which sections, and when (`at`, in seconds since the epoch).
 
-    `edit` names the change itself, whatever revision it became.  `changed`
-    holds section names; those without an `undo` are new.
+    `edit` is a unique id of the change; its writer finds the change by it after a
+    lost answer.  `changed` holds section names.  A section without an `undo` was
+    added by the change.
     """
 
     revision: int
@@ -54,17 +54,17 @@
     undo: tuple[Undo, ...] = ()
 
 
-def entry_name(revision: int) -> str:
-    """Return the name of a revision's entry; names sort by revision."""
+def make_entry_name(revision: int) -> str:
+    """Return the object name of a revision's entry; names sort by revision."""
     return f"{revision:012d}"
 
 
 async def copy_entry(*, store: ObjectStore, entry: AuditEntry) -> Unavailable | None:
-    """Copy an entry out of the head, unless that was done before."""
+    """Copy an entry from the head into the trail, unless the copy exists."""
     result = await put_record(
         store=store,
         kind=KIND,
-        name=entry_name(entry.revision),
+        name=make_entry_name(entry.revision),
         record=entry,
         version=NEW,
         is_own=entry.__eq__,
@@ -83,7 +83,7 @@
 ) -> AuditEntry | Absent | Unavailable:
     """Return the entry of a revision."""
     found = await read_record(
-        store=store, kind=KIND, name=entry_name(revision), record=AuditEntry
+        store=store, kind=KIND, name=make_entry_name(revision), record=AuditEntry
     )
     return found.record if isinstance(found, VersionedRecord) else found
 
@@ -91,10 +91,10 @@
 async def read_entries(
     *, store: ObjectStore, revisions: Iterable[int]
 ) -> tuple[AuditEntry, ...] | Unavailable:
-    """Return the entries of some revisions, in the same order."""
+    """Return the entries of these revisions, in the given order."""
     entries: list[AuditEntry] = []
     revisions = iter(revisions)
-    while group := tuple(itertools.islice(revisions, READ_AT_ONCE)):
+    while group := tuple(itertools.islice(revisions, READ_CONCURRENCY)):
         found = await asyncio.gather(
             *(read_entry(store=store, revision=revision) for revision in group)
         )
--- a/eelgrassrack/store/head.py
+++ b/eelgrassrack/store/head.py
@@ -1,18 +1,18 @@
-"""The operators' document: one head that decides which sections count.
+"""The operators' document, whose head object decides which sections are in force.
 
-The head is changed by conditional update only, and its revision rises by
-one with each change.  Two teams that change the document at once race for
-the head; the slower one starts anew from the other's document, so that
-neither undoes the other's work and the joined document is checked whole:
-two sections may each be valid alone and not together.
+The head changes only by conditional update, and each change increments its
+revision.  If two teams change the document concurrently, the slower one starts
+again from the other's revision.  So neither team undoes the other's work, and the
+combined document is validated as a whole: two sections may each be valid alone but
+not together.
 
-The answer to an update can be lost.  Each change carries an id, by which
-its writer finds it again in the head or, overwritten since, in the audit
+The answer to an update can be lost.  Each change therefore carries an id, by which
+its writer finds the change in the head or, if that was overwritten, in the audit
 trail.
 
-Store calls: for a change a read of the head, a write for each new section
-and three more; for each daemon that follows, the end of a watch and a read
-for each new section.  The head takes some hundred bytes for each section.
+Store calls: a change takes a read of the head, a write for each new section and
+three more calls.  Each daemon that follows the document ends one watch and reads
+each new section.  The head takes some hundred bytes for each section.
 """
 
 import uuid
@@ -34,7 +34,7 @@
 from ..document.sections import Team
 from .audit import AuditEntry, copy_entry, read_entry
 from .errors import StoreError
-from .headreader import Base, HeadReader, HeadState, NoDocument
+from .headreader import BaseRevision, HeadReader, HeadState, NoDocument
 from .headrecord import KIND, NAME, HeadRecord, make_record
 from .objects import Absent, ObjectStore, Unavailable, Unchanged
 from .records import NEW, RecordConflict, RecordWritten, put_record
@@ -42,40 +42,40 @@
 
 log = logbook.Logger("head")
 
-# A change that lost this many races in a row is given up.
-RACES = 8
+# A change fails after it lost this many races in a row.
+MAX_RACES = 8
 
-# The first document names the teams that may change it.
-EVERY_SECTION = ("*",)
+# Until a document names teams, any team may change any section.
+ALL_SECTIONS = ("*",)
 
 
 class Applied(msgspec.Struct, kw_only=True, frozen=True):
-    """The change is in the document since this revision."""
+    """The change is in the document as of this revision."""
 
     revision: int
 
 
 class ApplyRefused(msgspec.Struct, kw_only=True, frozen=True):
-    """The change was not made, and why."""
+    """The change was refused, for this reason."""
 
     reason: str
     faults: tuple[Fault, ...] = ()
 
 
 class KeyChange(msgspec.Struct, kw_only=True, frozen=True):
-    """One key of a section and the value it is to have."""
+    """A new value for one key of a section."""
 
     section: SectionName
     key: str
     value: str
 
 
-class _Lost(msgspec.Struct, kw_only=True, frozen=True):
-    """Another change came first."""
+class _RaceLost(msgspec.Struct, kw_only=True, frozen=True):
+    """Another change was written first."""
 
 
 class _Edit(msgspec.Struct, kw_only=True, frozen=True):
-    """Who makes a change, with the id by which it is found again."""
+    """Who makes a change, and the id by which the change is found again."""
 
     id: str
     team: str
@@ -83,7 +83,7 @@
     at: float
 
 
-_Compose = Callable[[Base], Mapping[SectionName, str] | Applied | ApplyRefused]
+_Compose = Callable[[BaseRevision], Mapping[SectionName, str] | Applied | ApplyRefused]
 
 
 class DocumentHead:
@@ -103,19 +103,19 @@
     async def watch(
         self, *, known_version: int, timeout: float
     ) -> HeadState | NoDocument | Unchanged | Unavailable:
-        """Return the newest revision once the head isn't at this version."""
+        """Wait until the head isn't at this version, and return the newest revision."""
         return await self._reader.watch(known_version=known_version, timeout=timeout)
 
     async def read_revision(self, *, revision: int) -> HeadState | Absent | Unavailable:
-        """Return an earlier revision, going back change by change."""
+        """Return an earlier revision, by undoing the later changes one by one."""
         return await self._reader.read_revision(revision=revision)
 
     async def initialise(
         self, *, text: str, who: str, now: float
     ) -> Applied | ApplyRefused | Unavailable:
-        """Store the first document, comments and all."""
+        """Store the first document, including its comments."""
 
-        def compose(base: Base) -> Mapping[SectionName, str] | ApplyRefused:
+        def compose(base: BaseRevision) -> Mapping[SectionName, str] | ApplyRefused:
             if base.version != NEW:
                 return ApplyRefused(reason="there is a document already")
             return split_sections(text)
@@ -134,14 +134,13 @@
     ) -> Applied | ApplyRefused | Unavailable:
         """Replace a team's sections that match the patterns.
 
-        Applied again, a change that is in force already makes no revision.
-        After `Unavailable` with `maybe_written` it is safe to apply it
-        again.
+        Applying a change that is already in force creates no revision.  After
+        `Unavailable` with `maybe_written` it is safe to apply the change again.
         """
         patterns = tuple(patterns)
 
         def compose(
-            base: Base,
+            base: BaseRevision,
         ) -> Mapping[SectionName, str] | Applied | ApplyRefused:
             return _replace(base, team, patterns, proposed)
 
@@ -151,16 +150,16 @@
     async def set_keys(
         self, *, team: str, changes: tuple[KeyChange, ...], who: str, now: float
     ) -> Applied | ApplyRefused | Unavailable:
-        """Set single keys of sections and leave the rest as it stands.
+        """Set single keys of sections and leave the rest unchanged.
 
-        Another team may change the same section between an operator's
-        reading and writing.  The keys are set in the text that is in force
-        when the write takes effect, so that the other change stays.
+        Another team may change the same section between an operator's read and
+        write.  The keys are set in the text that is in force when the write takes
+        effect, so the other change is kept.
         """
         patterns = tuple(str(change.section) for change in changes)
 
         def compose(
-            base: Base,
+            base: BaseRevision,
         ) -> Mapping[SectionName, str] | Applied | ApplyRefused:
             text = base.text
             for change in changes:
@@ -182,8 +181,8 @@
     async def _change(
         self, edit: _Edit, compose: _Compose
     ) -> Applied | ApplyRefused | Unavailable:
-        """Make a change on the newest revision, however often it is overtaken."""
-        for _ in range(RACES):
+        """Apply a change to the newest revision, retrying after lost races."""
+        for _ in range(MAX_RACES):
             base = await self._reader.read_base()
             if isinstance(base, Unavailable):
                 return base
@@ -197,14 +196,14 @@
                 result = await self._write(base, sections, edit)
             except StoreError as error:
                 return ApplyRefused(reason=str(error))
-            if not isinstance(result, _Lost):
+            if not isinstance(result, _RaceLost):
                 return result
         return Unavailable(reason="the document keeps changing")
 
     async def _write(
-        self, base: Base, sections: Mapping[SectionName, str], edit: _Edit
-    ) -> Applied | Unavailable | _Lost:
-        """Write the sections, then the head that makes them count."""
+        self, base: BaseRevision, sections: Mapping[SectionName, str], edit: _Edit
+    ) -> Applied | Unavailable | _RaceLost:
+        """Write the sections, then the head that puts them in force."""
         record = make_record(
             before=base.record,
             sections=sections,
@@ -214,8 +213,8 @@
             at=edit.at,
         )
         failed = await self._texts.write(texts=sections.values())
-        # The entry of the revision that is about to be overwritten must be
-        # in the trail before; afterwards nobody would know of that change.
+        # The write replaces the audit entry in the head, so that entry must be in
+        # the trail first.  Otherwise the record of that change would be lost.
         if not failed and base.record.change:
             failed = await copy_entry(store=self._store, entry=base.record.change)
         if failed:
@@ -237,19 +236,19 @@
                 return await self._find_edit(record)
 
     async def _conclude(self, record: HeadRecord) -> Applied:
-        """Copy the entry of a change that was just made.
+        """Copy the audit entry of a change that was just made.
 
-        Should that fail, the next change or `audit` does it.
+        If that fails, the next change or the next call of `audit` copies it.
         """
         log.info("head: revision {} by {}", record.revision, record.change.who)
         await copy_entry(store=self._store, entry=record.change)
         return Applied(revision=record.revision)
 
-    async def _find_edit(self, record: HeadRecord) -> Applied | Unavailable | _Lost:
-        """Tell whether a change was made and overwritten before it was seen.
+    async def _find_edit(self, record: HeadRecord) -> Applied | Unavailable | _RaceLost:
+        """Return whether a change took effect before another change replaced it.
 
-        Its answer was lost then, and the next change came right after.
-        Whoever made that one has copied this one's entry first.
+        That happens when the answer to the write is lost and the next change
+        follows at once.  The writer of that change copied this entry first.
         """
         entry = await read_entry(store=self._store, revision=record.revision)
         match entry:
@@ -257,15 +256,15 @@
                 return Applied(revision=record.revision)
             case Unavailable(reason=reason):
                 return Unavailable(reason=reason, maybe_written=True)
-        return _Lost()
+        return _RaceLost()
 
 
 def _replace(
-    base: Base, team: str, patterns: tuple[str, ...], proposed: str
+    base: BaseRevision, team: str, patterns: tuple[str, ...], proposed: str
 ) -> Mapping[SectionName, str] | Applied | ApplyRefused:
-    """Return the sections with a team's replaced, if it may do that."""
+    """Return the sections with those of a team replaced, if the team may edit them."""
     if base.teams is None:
-        known = Team(name=team, sections=EVERY_SECTION)
+        known = Team(name=team, sections=ALL_SECTIONS)
     else:
         known = base.teams.get(team)
     if known is None:
--- a/eelgrassrack/store/headreader.py
+++ b/eelgrassrack/store/headreader.py
@@ -1,4 +1,4 @@
-"""Reading the operators' document, its history and the audit trail."""
+"""Reading of the operators' document, its earlier revisions and the audit trail."""
 
 from collections.abc import Mapping
 
@@ -20,7 +20,7 @@
 
 
 class HeadState(msgspec.Struct, kw_only=True, frozen=True):
-    """One revision of the document; `version` is its head object's."""
+    """One revision of the document; `version` is the version of the head object."""
 
     revision: int
     text: str
@@ -29,11 +29,11 @@
 
 
 class NoDocument(msgspec.Struct, kw_only=True, frozen=True):
-    """Nobody has stored a document yet."""
+    """No document has been stored yet."""
 
 
-class Base(msgspec.Struct, kw_only=True, frozen=True):
-    """What a change starts from; without a document there are no teams."""
+class BaseRevision(msgspec.Struct, kw_only=True, frozen=True):
+    """The revision that a change starts from; `teams` is None without a document."""
 
     record: HeadRecord
     text: str
@@ -58,7 +58,7 @@
     async def watch(
         self, *, known_version: int, timeout: float
     ) -> HeadState | NoDocument | Unchanged | Unavailable:
-        """Return the newest revision once the head isn't at this version."""
+        """Wait until the head isn't at this version, and return the newest revision."""
         found = await self._store.watch(
             kind=KIND, name=NAME, version=known_version, timeout=timeout
         )
@@ -67,7 +67,7 @@
         return await self._load(found)
 
     async def read_revision(self, *, revision: int) -> HeadState | Absent | Unavailable:
-        """Return an earlier revision, going back change by change."""
+        """Return an earlier revision, by undoing the later changes one by one."""
         found = await self._read_record()
         if not isinstance(found, VersionedRecord):
             return found
@@ -94,18 +94,23 @@
         trail = await self._read_trail(record, down_to=oldest)
         return trail if isinstance(trail, Unavailable) else trail[:limit]
 
-    async def read_base(self) -> Base | Unavailable:
-        """Return what a change starts from, which may be no document."""
+    async def read_base(self) -> BaseRevision | Unavailable:
+        """Return the revision that a change starts from.
+
+        If no document exists yet, that is an empty record.
+        """
         match await self._read_record():
             case Absent():
-                return Base(record=HeadRecord(), text="", teams=None, version=NEW)
+                return BaseRevision(
+                    record=HeadRecord(), text="", teams=None, version=NEW
+                )
             case Unavailable() as unavailable:
                 return unavailable
             case VersionedRecord(record=record, version=version):
                 state = await self._join(record, version)
         if isinstance(state, Unavailable):
             return state
-        return Base(
+        return BaseRevision(
             record=record,
             text=state.text,
             teams=state.snapshot.teams,
@@ -142,8 +147,8 @@
         if snapshot is None:
             snapshot = parse_document(text=text, revision=record.revision)
         if isinstance(snapshot, Faults):
-            # Checked before it was stored, so another release did that.
-            # The revision known before stays in force.
+            # Documents are checked before they are stored, so another release
+            # stored this one.  The revision known before stays in force.
             log.error("head: revision {}: {}", record.revision, snapshot)
             return Unavailable(reason=f"revision {record.revision} has faults")
         return HeadState(
@@ -153,7 +158,7 @@
     async def _read_trail(
         self, record: HeadRecord, *, down_to: int
     ) -> tuple[AuditEntry, ...] | Unavailable:
-        """Return the changes from the head's own down to a revision's."""
+        """Return the changes from the newest down to that of revision `down_to`."""
         if down_to > record.revision or record.change is None:
             return ()
         failed = await copy_entry(store=self._store, entry=record.change)
--- a/eelgrassrack/store/headrecord.py
+++ b/eelgrassrack/store/headrecord.py
@@ -1,4 +1,4 @@
-"""The record that decides which document is in force, and its history."""
+"""The head record, which decides which document is in force, and its history."""
 
 import itertools
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
 
 
 class HeadRecord(msgspec.Struct, kw_only=True, frozen=True):
-    """The sections of one revision in order, and the change that made it."""
+    """The sections of one revision, in order, and the change that created it."""
 
     revision: int = 0
     sections: tuple[SectionDigest, ...] = ()
@@ -37,7 +37,7 @@
     who: str,
     at: float,
 ) -> HeadRecord:
-    """Return the revision after `before`, with these section texts."""
+    """Return the record of the revision that follows `before`, with these sections."""
     after = tuple(
         SectionDigest(name=(name.kind, name.name), digest=digest_text(text))
         for name, text in sections.items()
@@ -56,7 +56,7 @@
 
 
 def undo_change(*, record: HeadRecord, change: AuditEntry) -> HeadRecord:
-    """Return the revision that the change was made from."""
+    """Return the record of the revision that the change started from."""
     old = {undo.name: undo.digest for undo in change.undo}
     changed = set(change.changed)
     names = {section.name for section in record.sections}
@@ -68,7 +68,7 @@
     for undo in change.undo:
         if undo.name not in names:
             restored = SectionDigest(name=undo.name, digest=undo.digest)
-            sections.insert(undo.place, restored)
+            sections.insert(undo.position, restored)
     return HeadRecord(revision=change.from_revision, sections=tuple(sections))
 
 
@@ -89,8 +89,8 @@
 ) -> tuple[Undo, ...]:
     new = {section.name: section.digest for section in after}
     return tuple(
-        Undo(name=section.name, digest=section.digest, place=place)
-        for place, section in enumerate(before)
+        Undo(name=section.name, digest=section.digest, position=position)
+        for position, section in enumerate(before)
         if new.get(section.name) != section.digest
     )
 
--- a/eelgrassrack/store/revisions.py
+++ b/eelgrassrack/store/revisions.py
@@ -1,14 +1,14 @@
-"""The rule that a configuration never reverts."""
+"""A guard that keeps an older configuration from replacing a newer one."""
 
 from ..invariants import Invariants, Promise
 
 
 class RevisionGuard:
-    """Accept only a revision above every one accepted before.
+    """Accept only revisions above all that were accepted before.
 
-    A paused peer, a late answer or a store's lagging reader may offer an
-    older document at any time; put in force, it would give work to a
-    version that was withdrawn since.
+    A paused peer, a late answer or a lagging replica of the store may offer an older
+    document at any time.  Putting that in force would send work to a version that has
+    been withdrawn since.
     """
 
     __slots__ = ("_history", "_invariants", "highest")
@@ -19,14 +19,14 @@
         self.highest = 0
 
     def accept(self, revision: int) -> bool:
-        """Take a revision as the one in force if it is newer."""
+        """Accept a revision if it is newer; return whether it was accepted."""
         if revision <= self.highest:
             return False
         self.highest = revision
         return True
 
     def check_in_force(self, revision: int) -> bool:
-        """Assert that a decision isn't made by an older revision than before."""
+        """Check that no decision uses an older revision than one before it."""
         holds = self._invariants.check(
             Promise.CONFIGURATION,
             revision >= self._history,
--- a/test/store/test_head.py
+++ b/test/store/test_head.py
@@ -1,4 +1,4 @@
-"""Tests that a document change is made once, whole, and never undone."""
+"""Tests that document changes are applied once, completely, and never reverted."""
 
 import asyncio
 import itertools
@@ -31,11 +31,11 @@
 LATENCY = ("latency = 3\n", "latency = 5\n")
 
 
-class Rigged:
-    """An object store that runs the test's hooks around its writes.
+class HookedStore:
+    """An object store that runs the test's hooks in place of its writes.
 
-    A hook is awaited instead of the next write to a kind, is given that
-    write, and returns the answer.
+    A hook replaces the next write to a kind.  It receives that write as a function and
+    returns the answer.
     """
 
     def __init__(self, store):
@@ -64,11 +64,11 @@
 
 
 class Operator:
-    """Somebody of a team at a terminal."""
+    """A member of a team who changes the document."""
 
     def __init__(self, store, team):
-        self.rigged = Rigged(store)
-        self.head = DocumentHead(store=self.rigged)
+        self.hooked = HookedStore(store)
+        self.head = DocumentHead(store=self.hooked)
         self.team = team
 
     async def apply(self, change, *patterns, text=TEXT):
@@ -149,14 +149,14 @@
 
 def test_follower_reads_only_what_changed(store, assessment):
     async def follow():
-        rigged = Rigged(store)
-        head = DocumentHead(store=rigged)
+        hooked = HookedStore(store)
+        head = DocumentHead(store=hooked)
         state = await head.watch(known_version=0, timeout=1.0)
-        rigged.reads.clear()
+        hooked.reads.clear()
         await assessment.apply_weight()
         newer = await head.watch(known_version=state.version, timeout=1.0)
         same = await head.watch(known_version=newer.version, timeout=0.0)
-        return newer, same, rigged.reads
+        return newer, same, hooked.reads
 
     newer, same, reads = asyncio.run(follow())
     assert (newer.revision, same, reads) == (2, Unchanged(), ["sections"])
@@ -190,29 +190,29 @@
 
 
 def test_lost_answer_to_the_first_document():
-    """Told that there is a document already, an operator would look for whose."""
+    """An operator told that a document exists would search for its author in vain."""
     operator = Operator(make_store(), "setup")
-    operator.rigged.hooks[KIND] = lose_answer
+    operator.hooked.hooks[KIND] = lose_answer
     first = asyncio.run(operator.head.initialise(text=TEXT, who="setup", now=0.0))
     assert first == Applied(revision=1)
 
 
 def test_lost_answer_is_recognised(store, assessment):
-    """The change takes effect and its answer is lost.
+    """The change takes effect but its answer is lost.
 
-    An operator told that it failed would make it again, or undo by hand
-    what is in force everywhere.
+    An operator told that it failed would make it again, or undo by hand what is in
+    force everywhere.
     """
-    assessment.rigged.hooks[KIND] = lose_answer
+    assessment.hooked.hooks[KIND] = lose_answer
     assert asyncio.run(assessment.apply_weight()) == Applied(revision=2)
     assert read(store).revision == 2
 
 
 def test_lost_answer_and_overtaken(store, assessment, direction):
-    """The answer is lost, and another team's change comes before it is looked for.
+    """The answer is lost, and another team's change follows before the head is read.
 
-    The head then shows only the other's change; made again, this one would
-    take another revision and be in the trail twice.
+    The head then shows only the other team's change.  If this change were made again,
+    it would be in the audit trail twice, as two revisions.
     """
 
     async def lose(write):
@@ -220,7 +220,7 @@
         assert await direction.apply_latency() == Applied(revision=3)
         return Unavailable(reason="lost", maybe_written=True)
 
-    assessment.rigged.hooks[KIND] = lose
+    assessment.hooked.hooks[KIND] = lose
     assert asyncio.run(assessment.apply_weight()) == Applied(revision=2)
     assert [entry.team for entry in read_trail(store)[:2]] == [
         "direction",
@@ -233,23 +233,23 @@
 def test_two_teams_in_race(store, assessment, direction, kind):
     """Two teams read the same revision and both write.
 
-    The later write must not carry the other team's sections as they were.
+    The later write must not contain the old text of the other team's sections.
     """
 
     async def overtake(write):
         assert await direction.apply_latency() == Applied(revision=2)
         return await write()
 
-    assessment.rigged.hooks[kind] = overtake
+    assessment.hooked.hooks[kind] = overtake
     assert asyncio.run(assessment.apply_weight()) == Applied(revision=3)
     assert read(store).text == TEXT.replace(*WEIGHT).replace(*LATENCY)
 
 
 def test_joint_conflict(store, assessment):
-    """One team removes what another's new section refers to, at once.
+    """One team removes a section while another adds a section that refers to it.
 
-    Each change is valid alone.  Joined, a pool would serve a version that
-    no organisation's document knows.
+    Each change is valid alone.  Combined, a pool would serve a version that isn't in
+    the document.
     """
     operations = Operator(store, "operations")
     start = TEXT.index("[version assess/2026-10]")
@@ -268,7 +268,7 @@
 
     async def race():
         await operations.apply((pools[0], other_pool), "pool *")
-        assessment.rigged.hooks[KIND] = overtake
+        assessment.hooked.hooks[KIND] = overtake
         return await assessment.apply((section, ""), "version assess/2026-10")
 
     result = asyncio.run(race())
@@ -283,30 +283,30 @@
 
 
 def lose_copy(operator):
-    """Let an operator's next change lack its own entry in the trail."""
+    """Make the copy of an operator's next audit entry fail."""
 
     async def write_then_fail(write):
-        operator.rigged.hooks[audit.KIND] = fail
+        operator.hooked.hooks[audit.KIND] = fail
         return await write()
 
-    operator.rigged.hooks[KIND] = write_then_fail
+    operator.hooked.hooks[KIND] = write_then_fail
 
 
-def test_missing_copy_is_made_good(store, assessment, direction):
-    """A writer is lost right after its change, before the trail's entry."""
+def test_missing_copy_is_repaired(store, assessment, direction):
+    """A writer is lost after its change and before it copies the audit entry."""
     lose_copy(assessment)
     assert asyncio.run(assessment.apply_weight()) == Applied(revision=2)
-    name = audit.entry_name(2)
+    name = audit.make_entry_name(2)
     assert asyncio.run(store.read(kind=audit.KIND, name=name)) == Absent()
     asyncio.run(direction.apply_latency())
     assert [entry.revision for entry in read_trail(store)] == [3, 2, 1]
 
 
 def test_no_change_without_the_trail(store, assessment, direction):
-    """The entry of the revision before can't be copied: nothing may change."""
+    """The previous revision's entry can't be copied, so nothing may change."""
     lose_copy(assessment)
     asyncio.run(assessment.apply_weight())
-    direction.rigged.hooks[audit.KIND] = fail
+    direction.hooked.hooks[audit.KIND] = fail
     result = asyncio.run(direction.apply_latency())
     assert isinstance(result, Unavailable)
     assert not result.maybe_written
@@ -362,7 +362,7 @@
 
 
 def test_revisions_never_revert():
-    """A peer that was paused offers the document it had before."""
+    """A peer that was paused offers an outdated document."""
     revisions = RevisionGuard(invariants=Invariants(strict=True))
     assert [revisions.accept(number) for number in (3, 3, 2, 5)] == [
         True,
@@ -375,11 +375,11 @@
         revisions.check_in_force(3)
 
 
-def test_a_set_key_keeps_what_came_between():
-    """Two teams change keys of one section at the same moment.
+def test_set_keys_keeps_a_concurrent_change():
+    """Two teams change keys of one section concurrently.
 
-    One withdraws a version while the other raises its weight. Neither may
-    find its change undone by the other's.
+    One withdraws a version while the other raises its weight.  Neither change may undo
+    the other.
     """
     store = make_store()
     first, second = Operator(store, "operations"), Operator(store, "assessment")
@@ -396,11 +396,11 @@
     async def play():
         await first.head.initialise(text=TEXT, who="setup", now=0.0)
 
-        async def cut_in(write):
+        async def set_weight_first(write):
             assert isinstance(await set_key(second, "weight", "33"), Applied)
             return await write()
 
-        first.rigged.hooks[KIND] = cut_in
+        first.hooked.hooks[KIND] = set_weight_first
         assert await set_key(first, "state", "withdrawn") == Applied(revision=3)
         return (await first.head.read()).snapshot.versions[section.name]
 
