--- a/eelgrassrack/store/claim.py
+++ b/eelgrassrack/store/claim.py
@@ -1,22 +1,22 @@
-"""The record of a request that may not be repeated, and its name."""
+"""The claim record of a request that must not be repeated, and its object name."""
 
 import enum
 import hashlib
 
 import msgspec
 
-# A claim with a larger answer than this keeps the outcome without it.
+# A claim whose answer is larger keeps the outcome without the answer.
 MAX_ANSWER_BYTES = 256 * 1024
 
-# How long a resend is told the outcome of the first.
+# How long a resend of a request gets the outcome of the first run.
 RETENTION_SECONDS = 24 * 3600.0
 
 
 class ClaimState(enum.Enum):
-    """What is known of the claimed request.
+    """What is known about the claimed request.
 
-    `RELEASED`: its attempt never started and never will; a resend may run
-    it.  `UNKNOWN`: it may have had effect and nobody can tell.
+    `RELEASED`: its attempt never started and never will, so a resend may run it.
+    `UNKNOWN`: it may have taken effect, and there is no way to find out.
     """
 
     CLAIMED = "claimed"
@@ -26,16 +26,16 @@
     UNKNOWN = "unknown"
 
 
-RAN = (ClaimState.DONE, ClaimState.FAILED)
+FINISHED_STATES = (ClaimState.DONE, ClaimState.FAILED)
 
 
 class Claim(msgspec.Struct, kw_only=True, frozen=True):
-    """The record of one request that may not be repeated.
+    """The record of one request that must not be repeated.
 
-    `agent` is the incarnation that was given the attempt.  `body_digest`
-    tells a resend from another request under the same key.  `expires_at`
-    is in seconds since the epoch.  `answer_kept` is false when the answer
-    was too large to keep.
+    `agent` is the incarnation of the agent that the attempt was sent to.
+    `body_digest` distinguishes a resend from a different request with the same
+    key.  `expires_at` is in seconds since the epoch.  `answer_kept` is false if
+    the answer was too large to keep.
     """
 
     request: str
@@ -53,9 +53,9 @@
 
 
 def make_claim_name(*, organisation: str, operation: str, key: str) -> str:
-    """Return the name of the claim for an organisation's idempotency key.
+    """Return the object name of the claim for an organisation's idempotency key.
 
-    The parts are encoded with their lengths, so that no two triples give
+    The parts are encoded with their lengths, so different triples never produce
     the same text.
     """
     parts = msgspec.msgpack.encode((organisation, operation, key))
@@ -63,7 +63,7 @@
 
 
 def trim_answer(claim: Claim) -> Claim:
-    """Return the claim without its answer if that is too large to keep."""
+    """Return the claim, without its answer if that is too large to keep."""
     size = len(claim.answer) + sum(len(k) + len(v) for k, v in claim.headers)
     if size <= MAX_ANSWER_BYTES:
         return claim
--- a/eelgrassrack/store/claims.py
+++ b/eelgrassrack/store/claims.py
@@ -1,20 +1,19 @@
-"""Claims: what lets a request that may not be repeated run at most once.
-
-Before such a request is dispatched, an entry makes an object under the
-request's key.  Whoever finds the object there doesn't dispatch: it gives
-the caller the outcome on record, waits for it, or says that the outcome
-is unknown.
-
-A claim names the only attempt that may run.  Another attempt may take
-its place only by conditional update, and only once the old one can't
-start any more: its agent vowed so, or the entry that claimed it never
-sent it.  So an entry that is paused and wakes after it was overtaken does
-no harm: its agent refuses the old attempt, and its next write to the claim
-conflicts.
-
-Store calls: one write to take, one to finish, one for each move, and one
-read for each resend.  An object is at most `MAX_ANSWER_BYTES` and some
-hundred bytes, and is removed `SWEEP_MARGIN` after it expired.
+"""Claims, by which a request that must not be repeated runs at most once.
+
+Before an entry dispatches such a request, it creates an object under the
+request's idempotency key.  An entry that finds the object already there doesn't
+dispatch.  It returns the recorded outcome, waits for it, or reports that the
+outcome is unknown.
+
+A claim names the only attempt that may run.  Another attempt replaces it only by
+conditional update, and only once the old attempt can't start any more: its agent
+keeps a tombstone for it, or the entry that claimed it never sent it.  An entry
+that is paused meanwhile does no harm when it resumes: the agent refuses the old
+attempt, and the entry's next write to the claim conflicts.
+
+Store calls: one write to acquire, one to finish, one to reassign, and one read
+for each resend.  An object takes at most `MAX_ANSWER_BYTES` plus some hundred
+bytes, and is removed `SWEEP_MARGIN_SECONDS` after it expires.
 """
 
 from collections.abc import Callable
@@ -23,7 +22,7 @@
 import msgspec
 
 from ..invariants import Invariants, Promise
-from .claim import RAN, Claim, ClaimState, trim_answer
+from .claim import FINISHED_STATES, Claim, ClaimState, trim_answer
 from .objects import Absent, ObjectStore, Unavailable, Written
 from .records import (
     NEW,
@@ -39,40 +38,40 @@
 
 KIND = "claims"
 
-# A claim is removed this long after it expired.  Nobody acts on an expired
-# claim, so clocks that differ by less than this can't lead an entry to
-# replace a successor that was made under the same key after the removal.
-SWEEP_MARGIN = 3600.0
+# How long an expired claim stays before it is removed.  Entries ignore expired
+# claims.  As long as their clocks differ by less than this, none of them replaces
+# a new claim that was created under the same key after the removal.
+SWEEP_MARGIN_SECONDS = 3600.0
 
-# Rounds of `finish` against other entries' writes to the same claim.
-FINISH_ROUNDS = 4
+# How often `finish` retries when other entries write to the same claim.
+FINISH_TRIES = 4
 
 
 class ClaimAcquired(msgspec.Struct, kw_only=True, frozen=True):
-    """The claim names the caller's attempt, which alone may be dispatched."""
+    """The claim names this attempt, which may now be dispatched."""
 
     version: int
 
 
 class ExistingClaim(msgspec.Struct, kw_only=True, frozen=True):
-    """Another attempt has the claim."""
+    """The claim as it is stored, which names another attempt or has an outcome."""
 
     claim: Claim
     version: int
 
 
 class OutcomeRecorded(msgspec.Struct, kw_only=True, frozen=True):
-    """The outcome is on record."""
+    """The claim's outcome is stored."""
 
     version: int
 
 
 class ClaimUnavailable(msgspec.Struct, kw_only=True, frozen=True):
-    """The store didn't tell whether the write took effect.
+    """The store didn't confirm that the call took effect.
 
-    Nothing was dispatched, so "not run" is true.  With `maybe_written`
-    the claim may stand with an attempt that will never be sent; a resend
-    asks its agent, which vows so, and takes it over.
+    Nothing was dispatched, so "not run" is true.  With `maybe_written` the stored
+    claim may name an attempt that will never be sent.  A resend asks that
+    attempt's agent, which keeps a tombstone for it, and takes the claim over.
     """
 
     reason: str
@@ -81,7 +80,7 @@
 
 
 class Claims:
-    """Take, move, finish and read claims; `clock` is the wall clock."""
+    """Acquire, reassign, finish and read claims; `clock` is the wall clock."""
 
     __slots__ = ("_clock", "_cursor", "_invariants", "_store")
 
@@ -98,7 +97,7 @@
         self._cursor = Cursor(store=store, kind=KIND)
 
     async def read(self, *, name: str) -> ExistingClaim | Absent | ClaimUnavailable:
-        """Return the claim on record."""
+        """Return the stored claim."""
         match await read_record(store=self._store, kind=KIND, name=name, record=Claim):
             case VersionedRecord(record=claim, version=version):
                 return ExistingClaim(claim=claim, version=version)
@@ -110,27 +109,27 @@
     async def acquire(
         self, *, name: str, claim: Claim
     ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
-        """Claim a request before its first dispatch."""
-        taken = await self._put(name, claim, NEW)
-        if not isinstance(taken, ExistingClaim):
-            return taken
-        if taken.claim.state is not ClaimState.RELEASED:
-            return taken
-        if taken.claim.attempt == claim.attempt:
-            return taken
+        """Claim a request before it is first dispatched."""
+        result = await self._put(name, claim, NEW)
+        if not isinstance(result, ExistingClaim):
+            return result
+        if result.claim.state is not ClaimState.RELEASED:
+            return result
+        if result.claim.attempt == claim.attempt:
+            return result
         return await self.take_over(
-            name=name, held_version=taken.version, old_claim=taken.claim, claim=claim
+            name=name, held_version=result.version, old_claim=result.claim, claim=claim
         )
 
     async def take_over(
         self, *, name: str, held_version: int, old_claim: Claim, claim: Claim
     ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
-        """Put an attempt in the place of one that can't start any more.
+        """Replace an attempt that can't start any more.
 
-        Call this only after the old attempt's agent vowed never to start
-        it, or if the old attempt was never sent and never will be.
+        Call this only once the old attempt's agent keeps a tombstone for it, or if
+        the old attempt was never sent and never will be.
         """
-        if old_claim.state in RAN:
+        if old_claim.state in FINISHED_STATES:
             return ExistingClaim(claim=old_claim, version=held_version)
         if self._clock() >= old_claim.expires_at:
             return ClaimUnavailable(reason="the claim has expired")
@@ -139,19 +138,19 @@
             old_claim.attempt != claim.attempt,
             f"attempt {claim.attempt} would take over from itself",
         )
-        taken = await self._put(name, claim, held_version)
-        if isinstance(taken, ClaimAcquired):
+        result = await self._put(name, claim, held_version)
+        if isinstance(result, ClaimAcquired):
             log.info("claims: taken over: {}: {}", name, claim.attempt)
-        return taken
+        return result
 
     async def reassign(
         self, *, name: str, version: int, old_claim: Claim, claim: Claim
     ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
-        """Name a new attempt of the same entry after `NotStarted`.
+        """Name a new attempt by the same entry, after `NotStarted`.
 
-        It has to be on record before it is sent.  Otherwise an entry that
-        finds the old attempt's name asks the wrong agent, gets a vow for
-        an attempt that no longer matters, and runs the request again.
+        The claim must name the new attempt before that is sent.  Otherwise an
+        entry that finds the old attempt would ask the wrong agent, get a tombstone
+        for an attempt that no longer matters, and run the request again.
         """
         return await self.take_over(
             name=name, held_version=version, old_claim=old_claim, claim=claim
@@ -162,9 +161,9 @@
     ) -> OutcomeRecorded | ExistingClaim | ClaimUnavailable:
         """Record that the attempt never started and never will.
 
-        The object stays: were it removed, the next claim could get the
-        same version again, and a paused entry that read the old claim
-        would replace the new one while it runs.
+        The object stays.  If it were removed, the next claim could get the same
+        version, and a paused entry that read the old claim could replace the new
+        one while its request runs.
         """
         released = msgspec.structs.replace(claim, state=ClaimState.RELEASED)
         return _as_finished(await self._put(name, released, version))
@@ -174,42 +173,42 @@
     ) -> OutcomeRecorded | ExistingClaim | ClaimUnavailable:
         """Record the outcome of the claim's attempt.
 
-        `ExistingClaim` is the better outcome that another entry put on record
-        meanwhile.  After `ClaimUnavailable` call it again with the same
-        arguments; until it succeeds, a resend that asks the agent learns
-        that the attempt has started and isn't run.
+        `ExistingClaim` holds a better outcome that another entry stored meanwhile.
+        After `ClaimUnavailable`, call again with the same arguments.  Until that
+        succeeds, a resend learns from the agent that the attempt has started, and
+        isn't run.
         """
         claim = trim_answer(claim)
-        for _ in range(FINISH_ROUNDS):
+        for _ in range(FINISH_TRIES):
             result = await self._put(name, claim, version)
             if not isinstance(result, ExistingClaim):
                 return _as_finished(result)
-            if not self._may_improve(on_record=result.claim, outcome=claim):
+            if not self._may_replace(stored=result.claim, outcome=claim):
                 return result
             version = result.version
         return ClaimUnavailable(reason="the claim keeps changing")
 
-    def _may_improve(self, *, on_record: Claim, outcome: Claim) -> bool:
-        """Tell whether an outcome may replace another entry's record.
+    def _may_replace(self, *, stored: Claim, outcome: Claim) -> bool:
+        """Return whether an outcome may replace what another entry stored.
 
-        An entry cut off from the agent records that the outcome is
-        unknown; the one that has the answer may still put it there.
+        An entry that can't reach the agent stores that the outcome is unknown.
+        The entry that has the answer may still replace that.
         """
-        has_run = outcome.state in RAN
-        is_same = on_record.attempt == outcome.attempt
-        is_vowed = not is_same or on_record.state is ClaimState.RELEASED
+        has_run = outcome.state in FINISHED_STATES
+        is_same = stored.attempt == outcome.attempt
+        must_not_run = not is_same or stored.state is ClaimState.RELEASED
         self._invariants.check(
             Promise.AT_MOST_ONCE,
-            not (has_run and is_vowed),
+            not (has_run and must_not_run),
             f"attempt {outcome.attempt} ran, its claim is "
-            f"{on_record.state.value} for {on_record.attempt}",
+            f"{stored.state.value} for {stored.attempt}",
         )
-        return is_same and has_run and on_record.state not in RAN
+        return is_same and has_run and stored.state not in FINISHED_STATES
 
     async def sweep(self, *, limit: int) -> Swept | Unavailable:
-        """Remove claims that expired long ago, looking at `limit` at most.
+        """Remove claims that expired long ago, after checking at most `limit`.
 
-        Each sweep goes on where the last one ended.
+        Each sweep continues where the last one ended.
         """
         names = await self._cursor.read_names(limit=limit)
         if isinstance(names, Unavailable):
@@ -222,7 +221,7 @@
         held = await self.read(name=name)
         if not isinstance(held, ExistingClaim):
             return False
-        if self._clock() < held.claim.expires_at + SWEEP_MARGIN:
+        if self._clock() < held.claim.expires_at + SWEEP_MARGIN_SECONDS:
             return False
         result = await self._store.remove(kind=KIND, name=name, version=held.version)
         return isinstance(result, Written)
@@ -230,7 +229,7 @@
     async def _put(
         self, name: str, claim: Claim, version: int
     ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
-        """Write a claim and tell whether it stands."""
+        """Write a claim and return whether the store now holds it."""
 
         def is_own(found: Claim) -> bool:
             return (found.attempt, found.state) == (claim.attempt, claim.state)
@@ -261,7 +260,7 @@
 def _as_finished(
     result: ClaimAcquired | ExistingClaim | ClaimUnavailable,
 ) -> OutcomeRecorded | ExistingClaim | ClaimUnavailable:
-    """Return the result of a write as that of an outcome's record."""
+    """Convert the result of a write into that of storing an outcome."""
     if isinstance(result, ClaimAcquired):
         return OutcomeRecorded(version=result.version)
     return result
--- a/eelgrassrack/store/leases.py
+++ b/eelgrassrack/store/leases.py
@@ -1,15 +1,16 @@
-"""Leases with fencing numbers for orders to engines.
+"""Leases with fencing tokens for orders to engines.
 
-A lease says who may order an engine about.  Instances share no clock, so
-its length is a duration: who wants a lease that another holds waits until
-he has seen it unchanged for its whole duration by his own clock, and the
-holder counts its duration from before the write that gave it.
+A lease determines which process may send orders to an engine.  Instances share no
+clock, so a lease has a duration instead of an end time.  A process that wants a
+lease held by another waits until it has seen the lease unchanged for the whole
+duration by its own clock.  The holder counts the duration from before the write
+that acquired the lease.
 
-A holder that was paused past its lease doesn't know it until it looks at
-its clock, and may be paused again right after.  So each order carries a
-fencing number, the version of the lease's object, and whoever takes
-orders refuses a lower number than the highest it has seen.  For engines
-that don't check, their agent does, by `Fence`.
+A holder that was paused past the end of its lease doesn't notice until it reads
+its clock, and may be paused again right after.  Each order therefore carries a
+fencing number, the version of the lease's object.  The receiver refuses orders
+with a lower number than the highest it has seen.  For engines that don't check the
+number, their agent does, with a `Fence`.
 
 Store calls: one write for each renewal, at a third of the duration.
 """
@@ -33,15 +34,16 @@
 
 KIND = "leases"
 
-# The holder stops this share of the duration before its lease ends, for
-# clocks that don't run at the same speed.
-MARGIN = 0.1
+# The holder stops using a lease this share of the duration before its end, as clocks
+# may run at different speeds.
+MARGIN_SHARE = 0.1
 
 
 class Lease(msgspec.Struct, kw_only=True, frozen=True):
-    """Who holds a lease and for how many seconds from this write on.
+    """The holder of a lease, and its duration in seconds from this write on.
 
-    `write` names the write, so that its lost answer is made good.
+    `write` is a unique id of the write, by which the writer recognises it after a
+    lost answer.
     """
 
     holder: str
@@ -50,7 +52,10 @@
 
 
 class HeldLease(msgspec.Struct, kw_only=True, frozen=True):
-    """A lease held until `until` by the holder's own monotonic clock."""
+    """A lease that is valid until `until` by the holder's own monotonic clock.
+
+    `fence` is the fencing number for the holder's orders.
+    """
 
     name: str
     holder: str
@@ -59,26 +64,26 @@
     until: float
 
     def is_valid(self, *, now: float) -> bool:
-        """Tell whether the holder may still give orders.
+        """Return whether the holder may still send orders.
 
-        Ask right before each order: after a pause the answer is no.
+        Check this right before each order, as the process may have been paused.
         """
         return now < self.until
 
 
 class LeaseTaken(msgspec.Struct, kw_only=True, frozen=True):
-    """Somebody else holds the lease; try again after `wait` seconds."""
+    """Another process holds the lease; try again after `wait` seconds."""
 
     holder: str
     wait: float
 
 
 class Released(msgspec.Struct, kw_only=True, frozen=True):
-    """The lease is free, or somebody else's by now."""
+    """The lease is free, or another process holds it by now."""
 
 
-class _Sight(msgspec.Struct, kw_only=True, frozen=True):
-    """Since when a lease has been seen at a version."""
+class _Observation(msgspec.Struct, kw_only=True, frozen=True):
+    """The version of a lease, and the time since when it has been seen there."""
 
     version: int
     since: float
@@ -87,11 +92,11 @@
 class Leases:
     """Acquire, renew and release leases.
 
-    A holder is named by its incarnation, which a restarted process changes.
-    `clock` is monotonic; `make_id` returns a text that nobody else makes.
+    A holder is identified by its incarnation, which changes when a process is
+    restarted.  `clock` is monotonic; `make_id` returns globally unique texts.
     """
 
-    __slots__ = ("_clock", "_make_id", "_sights", "_store")
+    __slots__ = ("_clock", "_make_id", "_observations", "_store")
 
     def __init__(
         self,
@@ -103,12 +108,12 @@
         self._store = store
         self._clock = clock
         self._make_id = make_id
-        self._sights: dict[str, _Sight] = {}
+        self._observations: dict[str, _Observation] = {}
 
     async def acquire(
         self, *, name: str, holder: str, duration: float
     ) -> HeldLease | LeaseTaken | Unavailable:
-        """Take a lease that is free or has lapsed."""
+        """Acquire a lease that is free or has expired."""
         match await read_record(store=self._store, kind=KIND, name=name, record=Lease):
             case Absent():
                 return await self._write(name, holder, duration, NEW)
@@ -121,11 +126,11 @@
         return await self._write(name, holder, duration, version)
 
     async def renew(self, *, lease: HeldLease) -> HeldLease | LeaseTaken | Unavailable:
-        """Hold a lease for its duration from now on.
+        """Extend a lease to its full duration from now.
 
-        After `Unavailable` the lease is good for as long as it was before.
-        A renewal whose answer was lost is found at another version; it is
-        renewed from there, counting from the new write.
+        After `Unavailable` the lease keeps its earlier end.  If the answer to an
+        earlier renewal was lost, the object is at another version than expected;
+        the lease is then renewed from that version, counting from the new write.
         """
         found = await read_record(
             store=self._store, kind=KIND, name=lease.name, record=Lease
@@ -144,10 +149,10 @@
         return LeaseTaken(holder="", wait=0.0)
 
     async def release(self, *, lease: HeldLease) -> Released | Unavailable:
-        """Give a lease back before it lapses.
+        """Give a lease back before it expires.
 
-        The object stays, without a holder: made anew, it might start at a
-        low version, and the next holder's orders would be refused.
+        The object stays, without a holder.  If it were created again, it might
+        start at a low version, and the next holder's orders would be refused.
         """
         free = Lease(holder="", duration=0.0, write=self._make_id())
         result = await put_record(
@@ -161,19 +166,19 @@
         return result if isinstance(result, Unavailable) else Released()
 
     def _wait_for(self, name: str, lease: Lease, version: int) -> float:
-        """Return how many seconds the lease has to be seen unchanged yet."""
+        """Return for how many more seconds the lease must be seen unchanged."""
         if not lease.holder:
             return 0.0
         now = self._clock()
-        sight = self._sights.get(name)
-        if sight is None or sight.version != version:
-            sight = self._sights[name] = _Sight(version=version, since=now)
-        return sight.since + lease.duration - now
+        seen = self._observations.get(name)
+        if seen is None or seen.version != version:
+            seen = self._observations[name] = _Observation(version=version, since=now)
+        return seen.since + lease.duration - now
 
     async def _write(
         self, name: str, holder: str, duration: float, version: int
     ) -> HeldLease | LeaseTaken | Unavailable:
-        """Write the lease and count its duration from before the write."""
+        """Write the lease, and count its duration from before the write."""
         before = self._clock()
         lease = Lease(holder=holder, duration=duration, write=self._make_id())
         result = await put_record(
@@ -186,14 +191,14 @@
         )
         match result:
             case RecordWritten(version=fence):
-                self._sights.pop(name, None)
+                self._observations.pop(name, None)
                 log.info("leases: held: {} by {}: {}", name, holder, fence)
                 return HeldLease(
                     name=name,
                     holder=holder,
                     duration=duration,
                     fence=fence,
-                    until=before + duration * (1 - MARGIN),
+                    until=before + duration * (1 - MARGIN_SHARE),
                 )
             case RecordConflict(found=VersionedRecord(record=other)):
                 return LeaseTaken(holder=other.holder, wait=other.duration)
@@ -207,22 +212,21 @@
 
 
 class Fenced(msgspec.Struct, kw_only=True, frozen=True):
-    """The order comes from a holder that was replaced since."""
+    """The order comes from a holder that has been replaced."""
 
     highest: int
 
 
 class FenceUnknown(msgspec.Struct, kw_only=True, frozen=True):
-    """The highest number has to be learned before any order is taken."""
+    """The fence knows no number yet, and must learn it before it admits orders."""
 
 
 class Fence:
-    """Refuse orders with an old fencing number, for one engine.
+    """Refuse orders to one engine that carry an outdated fencing number.
 
-    A fence that was just made knows no number.  Taking the first order
-    for the newest, a restarted agent would carry out what a paused holder
-    sends after its successor's orders; so it has to learn the lease's
-    version first.
+    A new fence knows no number.  If a restarted agent accepted whatever order
+    arrives first, it could execute an order from a paused holder after the orders
+    of that holder's successor.  So it must learn the lease's version first.
     """
 
     __slots__ = ("_highest",)
@@ -231,11 +235,11 @@
         self._highest: int | None = None
 
     def learn(self, number: int) -> None:
-        """Take note of a fencing number read from the lease itself."""
+        """Record a fencing number that was read from the lease itself."""
         self._highest = max(number, self._highest or 0)
 
     def admit(self, number: int) -> Admitted | Fenced | FenceUnknown:
-        """Tell whether an order of this number may be carried out."""
+        """Return whether an order with this number may be carried out."""
         if self._highest is None:
             return FenceUnknown()
         if number < self._highest:
--- a/eelgrassrack/store/ledger.py
+++ b/eelgrassrack/store/ledger.py
@@ -1,22 +1,21 @@
-"""Ledgers: where bills are kept so that each attempt is billed once.
+"""Ledgers, which store bills so that each attempt is billed exactly once.
 
-An agent makes one bill for each attempt and keeps it until an entry says
-that it is settled.  The entry gathers bills in a ledger of its own, whose
-one head object decides alone what counts: a page counts once the head
-says so, and the head changes by conditional update.
+An agent creates one bill for each attempt and keeps it until an entry reports it
+as settled.  The entry collects bills in a ledger of its own.  The ledger's head
+object alone determines which pages count, and changes only by conditional update.
 
-When the entry is lost, another seals its head and then adds what is
-missing there to its own ledger (see `custody`).  The lost entry may only
-have been paused.  When it wakes, its next update of the head fails, so
-that what it hadn't flushed is dropped here and billed there, never both.
+If the entry is lost, another entry seals the head and adds the bills that are
+missing there to its own ledger (see `recovery`).  The lost entry may only have
+been paused.  When it resumes, its next update of the head fails.  It then drops
+its unflushed bills, which the other entry bills, so none is billed twice.
 
-A bill may go only into the ledger that its agent believes to hold it: the
-agent names that ledger to whoever recovers the bill.  A bill for a sealed
-ledger that slipped into its successor would be billed twice.
+A bill may go only into the ledger that its agent has on record for it, because the
+agent names that ledger to the entry that recovers the bill.  If a bill for a sealed
+ledger went into the next ledger instead, it would be billed twice.
 
-Store calls: two writes for each flush that has bills.  At a flush each five
-seconds, 380 entries make 152 writes a second.  A page is at most
-`PAGE_BYTES`, a line 110 bytes, a head 28 bytes for each organisation.
+Store calls: two writes for each flush that has bills.  With a flush every five
+seconds, 380 entries make 152 writes a second.  A page takes at most `PAGE_BYTES`,
+a line 110 bytes, and a head 28 bytes for each organisation.
 """
 
 import asyncio
@@ -41,34 +40,34 @@
     add_totals,
     cut_page,
     make_line,
-    page_name,
+    make_page_name,
 )
 from .records import NEW, RecordConflict, RecordWritten, VersionedRecord, put_record
 
 log = logbook.Logger("ledger")
 
-# With this many bills waiting an entry takes no new work.  At 82 requests
-# a second that is two minutes of outage.  A bill takes 290 bytes (measured).
+# With this many unflushed bills an entry refuses new work.  At 82 requests a second
+# that covers an outage of two minutes.  A bill takes 290 bytes of memory.
 BACKLOG_BILLS = 10_000
 
-# Room for the bills of the work under way when the backlog became full.
-# Beyond it a bill stays with its agent alone.
-UNDER_WAY_BILLS = 5_000
+# Room for the bills of requests that are in flight when the backlog fills up.
+# Further bills stay with their agents.
+IN_FLIGHT_BILLS = 5_000
 
-# Flushed attempts that are remembered to recognise a bill sent again, at
-# 150 bytes each (measured).
+# How many flushed attempts are remembered, at 150 bytes each, to recognise bills
+# that are sent again.
 REMEMBERED_ATTEMPTS = 20_000
 
-# A ledger with more pages than this is replaced by a new one, because
-# whoever recovers it has to read them all.
-LONGEST_LEDGER_PAGES = 128
+# A ledger with this many pages is replaced by a new one, because an entry that
+# recovers its bills must read all of them.
+MAX_LEDGER_PAGES = 128
 
 
 class AddResult(enum.Enum):
-    """What became of a bill that was to be added.
+    """The result of adding a bill.
 
-    `FLUSHED` may be settled at once.  After `FULL`, `SEALED` and
-    `OTHER_LEDGER` the bill isn't held here; its agent keeps it.
+    A `FLUSHED` bill may be settled at once.  After `FULL`, `SEALED` and
+    `OTHER_LEDGER` the ledger didn't take the bill, and its agent keeps it.
     """
 
     ADDED = "added"
@@ -80,13 +79,13 @@
 
 
 class Flushed(msgspec.Struct, kw_only=True, frozen=True):
-    """These attempts' bills are in the ledger for good: settle them."""
+    """The bills of these attempts are stored in the ledger and may be settled."""
 
     attempts: tuple[str, ...]
 
 
 class LedgerSealed(msgspec.Struct, kw_only=True, frozen=True):
-    """Somebody sealed the ledger; these bills were not in it and are dropped."""
+    """The ledger is sealed without the bills of these attempts, which were dropped."""
 
     dropped: tuple[str, ...]
 
@@ -94,7 +93,8 @@
 class Ledger:
     """One ledger of one entry.
 
-    `price` gives a bill's money in millionths; `clock` is the wall clock.
+    `price` returns a bill's price in millionths of the money unit; `clock` is the
+    wall clock.
     """
 
     __slots__ = (
@@ -140,22 +140,22 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether the entry should refuse new work."""
+        """Return whether the entry should refuse new work."""
         return len(self._backlog) >= BACKLOG_BILLS
 
     @property
     def is_sealed(self) -> bool:
-        """Tell whether somebody is known to have sealed the ledger."""
+        """Return whether the ledger is known to be sealed."""
         return self._sealed
 
     @property
     def is_long(self) -> bool:
-        """Tell whether new work should go to a new ledger."""
-        return self._head.pages >= LONGEST_LEDGER_PAGES
+        """Return whether new work should go to a new ledger."""
+        return self._head.pages >= MAX_LEDGER_PAGES
 
     @property
     def has_forgotten(self) -> bool:
-        """Tell whether there are flushed bills that `add` wouldn't recognise."""
+        """Return whether there are flushed bills that `add` wouldn't recognise."""
         return self._has_forgotten
 
     @property
@@ -169,7 +169,7 @@
         return len(self._backlog)
 
     def add(self, *, bill: Bill, into: str) -> AddResult:
-        """Take a bill whose agent believes it to be held by ledger `into`."""
+        """Add a bill for which its agent has ledger `into` on record."""
         if into != self.incarnation:
             return AddResult.OTHER_LEDGER
         if bill.attempt in self._remembered:
@@ -178,17 +178,17 @@
             return AddResult.SEALED
         if bill.attempt in self._backlog:
             return AddResult.WAITING
-        if len(self._backlog) >= BACKLOG_BILLS + UNDER_WAY_BILLS:
+        if len(self._backlog) >= BACKLOG_BILLS + IN_FLIGHT_BILLS:
             return AddResult.FULL
         self._backlog[bill.attempt] = make_line(bill=bill, money=self._price(bill))
         return AddResult.ADDED
 
     async def flush(self) -> Flushed | LedgerSealed | Unavailable:
-        """Write waiting bills as one page and count it in the head.
+        """Write the unflushed bills as one page and count it in the head.
 
-        After `Unavailable` the next flush goes on with the very same page:
-        it may stand in the store already, and a page of the same number
-        with other lines would be lost.
+        After `Unavailable` the next flush retries with the identical page, which
+        may already be stored.  A page of the same number with other lines couldn't
+        be written.
         """
         async with self._flushing:
             if self._sealed:
@@ -201,12 +201,12 @@
             return await self._write_page(self._page)
 
     async def _write_page(self, page: Page) -> Flushed | LedgerSealed | Unavailable:
-        """Write a page, then have the head count it."""
+        """Write a page, then count it in the head."""
         number = self._head.pages
         result = await put_record(
             store=self._store,
             kind=PAGE_KIND,
-            name=page_name(incarnation=self.incarnation, number=number),
+            name=make_page_name(incarnation=self.incarnation, number=number),
             record=page,
             version=NEW,
             is_own=page.__eq__,
@@ -215,11 +215,11 @@
             case Unavailable():
                 return result
             case RecordConflict():
-                return self._meet_double(f"page {number} has other lines")
+                return self._stop_writing(f"page {number} has other lines")
         return await self._count_page(page)
 
     async def _count_page(self, page: Page) -> Flushed | LedgerSealed | Unavailable:
-        """Change the head so that it counts the page."""
+        """Update the head so that it counts the page."""
         head = LedgerHead(
             pages=self._head.pages + 1,
             totals=add_totals(self._head.totals, page.lines),
@@ -240,27 +240,27 @@
             case Unavailable():
                 return result
             case RecordConflict(found=VersionedRecord(record=found)) if found.sealed:
-                return self._meet_seal(head, found, page)
+                return self._handle_seal(head, found, page)
             case RecordConflict(found=Absent()):
                 return self._seal()
-        return self._meet_double("the head was changed by somebody else")
+        return self._stop_writing("the head was changed by somebody else")
 
-    def _meet_seal(
+    def _handle_seal(
         self, head: LedgerHead, found: LedgerHead, page: Page
     ) -> Flushed | LedgerSealed:
-        """Tell whether the page was counted before the ledger was sealed.
+        """Settle the page if it was counted before the ledger was sealed.
 
-        The answer to the update may have been lost after it took effect.
-        The sealed head then counts the page, and whoever sealed it has
-        left its bills alone.
+        The update may have taken effect although its answer was lost.  The sealed
+        head then counts the page, and the entry that sealed it hasn't billed its
+        attempts again.
         """
         self._sealed = True
         if found.pages < head.pages:
             return self._drop()
         return self._settle(head, page)
 
-    def _meet_double(self, detail: str) -> LedgerSealed:
-        """Stop writing: another process writes under this incarnation."""
+    def _stop_writing(self, detail: str) -> LedgerSealed:
+        """Stop, because another process writes under this incarnation."""
         self._invariants.check(Promise.BILLED_ONCE, False, detail)
         return self._seal()
 
@@ -269,7 +269,7 @@
         return self._drop()
 
     def _drop(self) -> LedgerSealed:
-        """Forget what isn't flushed; the agents still have it."""
+        """Drop the unflushed bills, which the agents still have."""
         dropped = tuple(self._backlog)
         self._backlog.clear()
         self._page = None
@@ -278,7 +278,7 @@
         return LedgerSealed(dropped=dropped)
 
     def _settle(self, head: LedgerHead, page: Page) -> Flushed:
-        """Take note that the head counts the page."""
+        """Record that the head counts the page."""
         self._head = head
         self._page = None
         attempts = tuple(line.attempt for line in page.lines)
--- a/eelgrassrack/store/ledgers.py
+++ b/eelgrassrack/store/ledgers.py
@@ -1,9 +1,9 @@
-"""All ledgers of one entry: the one for new work and those running out.
+"""All ledgers of one entry: the current one and those being phased out.
 
-New work is given the current ledger's name.  Its bill goes into that
-ledger however late it comes, because the agent names that ledger should
-the entry be lost.  A ledger that has grown long, or that somebody sealed,
-gets no new work any more and is forgotten once its work has ended.
+Each request is assigned the current ledger when it starts.  Its bill goes into that
+ledger however late it arrives, because that is the ledger the agent names if the
+entry is lost.  A ledger that has grown long or old, or was sealed, is assigned no
+new requests, and is dropped after its requests have ended.
 """
 
 from collections.abc import Callable
@@ -14,22 +14,23 @@
 from .ledger import AddResult, Flushed, Ledger, LedgerSealed
 from .objects import Unavailable
 
-# An older ledger is kept for the work begun under it.  This is longer than
-# the longest deadline a document may allow; a bill that comes even later
-# stays with its agent, which hands it over once the ledger's name is gone.
+# How long a replaced ledger is kept for the requests assigned to it.  This exceeds
+# the longest deadline that a document may allow.  A bill that arrives even later
+# stays with its agent, which hands it over once the entry no longer has the ledger.
 OLD_LEDGER_SECONDS = 3600.0
 
 
-# A ledger with pages gets no new work after this time, so that one that
-# hasn't changed for days (see `folding`) is nobody's current one.
-LONGEST_LEDGER_SECONDS = 6 * 3600.0
+# A ledger with pages is replaced after this time.  So a ledger that hasn't changed
+# for a day (see `compaction`) is no entry's current one.
+MAX_LEDGER_SECONDS = 6 * 3600.0
 
 
-class FlushedAll(msgspec.Struct, kw_only=True, frozen=True):
-    """What one flush of all ledgers did.
+class FlushResult(msgspec.Struct, kw_only=True, frozen=True):
+    """The result of flushing all ledgers.
 
-    `settled` attempts are billed for good.  `unavailable` says why some
-    bills still wait, if they do.
+    The bills of `settled` attempts are stored.  Those of `dropped` attempts weren't
+    in a ledger that was sealed.  `unavailable` says why some bills aren't flushed
+    yet, if there are any.
     """
 
     settled: tuple[str, ...] = ()
@@ -38,7 +39,7 @@
 
 
 class Ledgers:
-    """The ledgers of one entry; `open_ledger` makes one of a new incarnation."""
+    """The ledgers of one entry; `open_ledger` creates one with a new incarnation."""
 
     __slots__ = ("_current", "_old", "_open_ledger", "_opened_at")
 
@@ -50,37 +51,37 @@
 
     @property
     def current(self) -> Ledger:
-        """Return the ledger whose name new work is given."""
+        """Return the ledger that new requests are assigned."""
         return self._current
 
     @property
     def is_full(self) -> bool:
-        """Tell whether the entry should refuse new work."""
+        """Return whether the entry should refuse new work."""
         return self._current.is_full or any(
             ledger.is_full for ledger, _ in self._old.values()
         )
 
     @property
     def waiting(self) -> int:
-        """Return how many bills aren't flushed; a graceful stop waits for none."""
+        """Return how many bills aren't flushed; a graceful stop waits for zero."""
         return sum(ledger.waiting for ledger in self._all())
 
     def find(self, incarnation: str) -> Ledger | None:
-        """Return the ledger of this name unless it is gone."""
+        """Return the ledger with this incarnation, or None if it was dropped."""
         if incarnation == self._current.incarnation:
             return self._current
         kept = self._old.get(incarnation)
         return kept[0] if kept else None
 
     def add(self, *, bill: Bill, into: str) -> AddResult:
-        """Add a bill to the ledger that its work was given."""
+        """Add a bill to the ledger that its request was assigned."""
         ledger = self.find(into)
         if ledger is None:
             return AddResult.OTHER_LEDGER
         return ledger.add(bill=bill, into=into)
 
-    async def flush(self, *, now: float) -> FlushedAll:
-        """Flush every ledger and change to a new one where that is due."""
+    async def flush(self, *, now: float) -> FlushResult:
+        """Flush every ledger, and replace the current one if that is due."""
         settled: list[str] = []
         dropped: list[str] = []
         unavailable = None
@@ -92,16 +93,16 @@
                     dropped.extend(attempts)
                 case Unavailable() as unavailable:
                     pass
-        self._change(now)
-        return FlushedAll(
+        self._replace_current(now)
+        return FlushResult(
             settled=tuple(settled), dropped=tuple(dropped), unavailable=unavailable
         )
 
     def _all(self) -> list[Ledger]:
         return [self._current, *(ledger for ledger, _ in self._old.values())]
 
-    def _change(self, now: float) -> None:
-        """Open a new ledger if the current one gets no more work."""
+    def _replace_current(self, now: float) -> None:
+        """Open a new ledger if the current one is sealed, long or old."""
         self._old = {
             name: (ledger, until)
             for name, (ledger, until) in self._old.items()
@@ -109,8 +110,8 @@
         }
         if self._opened_at is None or not self._current.pages:
             self._opened_at = now
-        is_aged = now - self._opened_at > LONGEST_LEDGER_SECONDS
-        if not (self._current.is_sealed or self._current.is_long or is_aged):
+        is_old = now - self._opened_at > MAX_LEDGER_SECONDS
+        if not (self._current.is_sealed or self._current.is_long or is_old):
             return
         kept = (self._current, now + OLD_LEDGER_SECONDS)
         self._old[self._current.incarnation] = kept
--- a/eelgrassrack/store/pages.py
+++ b/eelgrassrack/store/pages.py
@@ -1,4 +1,4 @@
-"""The records of a ledger: its head, its pages and their lines."""
+"""The records of a ledger: its head, its pages and the lines on them."""
 
 import itertools
 from collections.abc import Iterable
@@ -12,15 +12,15 @@
 HEAD_KIND = "ledgers"
 PAGE_KIND = "ledger-pages"
 
-# A page stays well under the platform's megabyte; the rest is room for the
-# encoding around the lines.
+# The limit for the lines alone.  The rest of the platform's limit of one megabyte
+# is room for the encoding around them.
 PAGE_BYTES = 900_000
 
 
 class BillLine(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
-    """One attempt's bill; `money` is in millionths of the money unit.
+    """The bill of one attempt; `money` is in millionths of the money unit.
 
-    Of several attempts at one `step` of a request only one is billed.
+    If several attempts ran the same `step` of a request, only one is billed.
     """
 
     attempt: str
@@ -34,16 +34,17 @@
 
 
 class Page(msgspec.Struct, kw_only=True, frozen=True):
-    """Some lines of a ledger, never changed once written."""
+    """Some lines of a ledger; a page never changes once written."""
 
     lines: tuple[BillLine, ...]
 
 
 class Total(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
-    """What an organisation's attempts in one ledger add up to.
+    """The totals of an organisation's attempts in one ledger.
 
-    In a ledger that isn't folded they are for a quick look: `requests` and
-    `repeated` are left out, and repeated attempts add to the sums.
+    They are exact only once the ledger is compacted.  Before that, they are a quick
+    overview: `requests` and `repeated` are zero, and the sums include repeated
+    attempts.
     """
 
     organisation: str
@@ -56,27 +57,26 @@
 
 
 class LedgerHead(msgspec.Struct, kw_only=True, frozen=True):
-    """What decides which pages count: those with a number below `pages`.
+    """The head of a ledger; only pages numbered below `pages` count.
 
-    Nothing is ever added to a sealed ledger.  Of a folded one only the
-    totals are left; its pages are removed.  `changed_at` is in seconds
-    since the epoch.
+    Nothing is ever added to a sealed ledger.  A compacted ledger keeps only its
+    totals; its pages are removed.  `changed_at` is in seconds since the epoch.
     """
 
     sealed: bool = False
-    folded: bool = False
+    compacted: bool = msgspec.field(default=False, name="folded")
     pages: int = 0
     totals: tuple[Total, ...] = ()
     changed_at: float = 0.0
 
 
-def page_name(*, incarnation: str, number: int) -> str:
-    """Return the name of a page."""
+def make_page_name(*, incarnation: str, number: int) -> str:
+    """Return the object name of a page."""
     return f"{incarnation}/{number}"
 
 
 def make_line(*, bill: Bill, money: int) -> BillLine:
-    """Return a bill as a line."""
+    """Convert a bill into a line."""
     return BillLine(
         attempt=bill.attempt,
         request=bill.request,
@@ -90,7 +90,7 @@
 
 
 def cut_page(lines: Iterable[BillLine]) -> Page:
-    """Return a page of the first lines, as many as fit."""
+    """Return a page of the first lines, with as many as fit."""
     lines = tuple(lines)
     sizes = (len(msgspec.msgpack.encode(line)) for line in lines)
     ends = itertools.accumulate(sizes)
@@ -99,7 +99,7 @@
 
 
 def add_totals(totals: Iterable[Total], lines: Iterable[BillLine]) -> tuple[Total, ...]:
-    """Return the totals with the lines added, sorted by organisation."""
+    """Add the lines to the totals and return these sorted by organisation."""
     sums = {total.organisation: total for total in totals}
     for line in lines:
         before = sums.get(line.organisation, Total(organisation=line.organisation))
@@ -116,8 +116,8 @@
 async def read_page(
     *, store: ObjectStore, incarnation: str, number: int
 ) -> Page | Unavailable:
-    """Return a page that a head counts; it was written before the head."""
-    name = page_name(incarnation=incarnation, number=number)
+    """Return a page that a head counts; such a page was written before the head."""
+    name = make_page_name(incarnation=incarnation, number=number)
     match await read_record(store=store, kind=PAGE_KIND, name=name, record=Page):
         case VersionedRecord(record=page):
             return page
--- a/eelgrassrack/store/pins.py
+++ b/eelgrassrack/store/pins.py
@@ -1,14 +1,15 @@
-"""Session pins: which version a session that a caller named keeps.
-
-The pin is an object created if absent, so that the first entry to see
-the session decides, and every other goes by it.  It is made at first
-sight, also while the model has only one version: made only once there
-are two, a session begun before would be drawn anew and might move.
-
-Store calls: one write for a new session; a write and a read when another
-entry has pinned it; none while it is in the cache; a write a week while
-it is in use.  An object has some hundred bytes and is removed when its
-session hasn't been used for `UNUSED_SECONDS`.
+"""Session pins, which keep each session that a caller names on one version.
+
+A pin is an object that is created only if absent, so the first entry to see the
+session decides and all others follow.  It is created at the session's first
+request, even while the model has only one version.  If it were created only once
+there are two, a session that started before would be assigned a version again and
+might change it.
+
+Store calls: one write for a new session; a write and a read if another entry has
+pinned it; none while it is in the cache; a write a week while it is in use.  An
+object takes some hundred bytes and is removed when its session hasn't been used
+for `UNUSED_SECONDS`.
 """
 
 import collections
@@ -38,13 +39,13 @@
 
 DAY_SECONDS = 24 * 3600.0
 
-# A pin in use is written again this often, so that sweeps leave it alone.
+# How often a pin in use is rewritten, so that sweeps don't remove it.
 REFRESH_SECONDS = 7 * DAY_SECONDS
 
-# A session is over when it hasn't been used for this long.
+# A session that hasn't been used for this long has ended.
 UNUSED_SECONDS = 30 * DAY_SECONDS
 
-# Pins kept in memory: 310 bytes each (measured).
+# How many pins are cached, at 310 bytes each.
 CACHED_PINS = 20_000
 
 
@@ -62,20 +63,20 @@
 
 
 class PinUnavailable(msgspec.Struct, kw_only=True, frozen=True):
-    """The session's version can't be told; its request must not run."""
+    """The session's version is unknown, so its request must not run."""
 
     reason: str
     retry_after: float = 1.0
 
 
-def pin_name(*, organisation: str, session: str, model: str) -> str:
-    """Return the name of a session's pin for a model."""
+def make_pin_name(*, organisation: str, session: str, model: str) -> str:
+    """Return the object name of a session's pin for a model."""
     parts = msgspec.msgpack.encode((organisation, session, model))
     return hashlib.sha256(parts).hexdigest()
 
 
 class Pins:
-    """Pin sessions and recall their pins; `clock` is the wall clock."""
+    """Create and read session pins; `clock` is the wall clock."""
 
     __slots__ = ("_cache", "_capacity", "_clock", "_cursor", "_invariants", "_store")
 
@@ -97,21 +98,24 @@
     async def pin(
         self, *, organisation: str, session: str, model: str, version: str
     ) -> PinnedTo | PinUnavailable:
-        """Return the session's version, which is this one if it has none."""
-        name = pin_name(organisation=organisation, session=session, model=model)
-        known = self._cache.get(name)
-        if known is None:
+        """Return the version that the session is pinned to.
+
+        A session without a pin is pinned to `version`.
+        """
+        name = make_pin_name(organisation=organisation, session=session, model=model)
+        stored = self._cache.get(name)
+        if stored is None:
             found = await self._create(name, version)
             if isinstance(found, PinUnavailable):
                 return found
-            known = self._remember(name, found)
+            stored = self._remember(name, found)
         self._cache.move_to_end(name)
-        if self._clock() - known.used_at > REFRESH_SECONDS:
-            await self._refresh(name, known)
-        return PinnedTo(version=known.version)
+        if self._clock() - stored.used_at > REFRESH_SECONDS:
+            await self._refresh(name, stored)
+        return PinnedTo(version=stored.version)
 
     async def _create(self, name: str, version: str) -> Pin | PinUnavailable:
-        """Make the pin, or return the one that is there."""
+        """Create the pin, or return the existing one."""
         pin = Pin(version=version, used_at=self._clock())
         result = await put_record(
             store=self._store,
@@ -131,7 +135,7 @@
         return PinUnavailable(reason="the pin was just removed")
 
     def _remember(self, name: str, pin: Pin) -> Pin:
-        """Keep a pin that the store confirmed, and never change its version."""
+        """Cache a pin that the store confirmed; a cached version never changes."""
         before = self._cache.setdefault(name, pin)
         self._invariants.check(
             Promise.SESSION,
@@ -143,7 +147,7 @@
         return before
 
     async def _refresh(self, name: str, pin: Pin) -> None:
-        """Write that the pin is in use; if that fails, the next use tries."""
+        """Store that the pin is in use; if that fails, the next use tries again."""
         fresh = msgspec.structs.replace(pin, used_at=self._clock())
         found = await read_record(store=self._store, kind=KIND, name=name, record=Pin)
         if isinstance(found, Unavailable):
@@ -164,9 +168,9 @@
             self._cache[name] = fresh
 
     async def sweep(self, *, limit: int) -> Swept | Unavailable:
-        """Remove pins that weren't used for long, looking at `limit` at most.
+        """Remove pins that haven't been used for long, after checking at most `limit`.
 
-        Each sweep goes on where the last one ended.
+        Each sweep continues where the last one ended.
         """
         names = await self._cursor.read_names(limit=limit)
         if isinstance(names, Unavailable):
@@ -175,10 +179,10 @@
         return Swept(looked_at=len(names), removed=sum(removed))
 
     async def _remove_unused(self, name: str) -> bool:
-        """Remove a pin that wasn't used for long.
+        """Remove a pin that hasn't been used for long; return whether it was removed.
 
-        The removal is conditional, so that a refresh by another entry in
-        the meantime keeps the pin.
+        The removal is conditional, so the pin is kept if another entry refreshes it
+        meanwhile.
         """
         found = await read_record(store=self._store, kind=KIND, name=name, record=Pin)
         if not isinstance(found, VersionedRecord):
--- a/eelgrassrack/store/recovery.py
+++ b/eelgrassrack/store/recovery.py
@@ -1,15 +1,14 @@
 """Recovery of bills whose entry was lost before it settled them.
 
-The agent hands the bills to another entry and names the ledgers of all
-entries that were given them before.  A lost entry may only be paused, or
-its last flush may still be under way.  So each of those ledgers is sealed
-first, after which it can't change any more, and then read: a bill that
-stands there is settled, any other goes into this entry's own ledger.
-
-Store calls: one write for each ledger not sealed yet and one read for each
-of its pages.  To read them once, agents choose the same entry for the
-bills of a lost one, and the entry recovers what several agents hand over
-in one call.
+The agent hands the bills to another entry and names the ledgers of all entries
+that received them before.  A lost entry may only be paused, or its last flush may
+still be in flight.  So each of those ledgers is first sealed, after which it can't
+change any more, and then read.  A bill found there is settled.  Any other bill
+goes into this entry's own ledger.
+
+Store calls: one write for each ledger that isn't sealed yet, and one read for each
+of its pages.  To read the pages only once, agents choose the same entry for all
+bills of a lost one, and that entry keeps what it read (see `SealedLedgers`).
 """
 
 import time
@@ -34,16 +33,17 @@
 
 log = logbook.Logger("custody")
 
-# Rounds of sealing against a holder that still flushes.
-SEAL_ROUNDS = 5
+# How often sealing is retried while the holder keeps flushing.
+SEAL_TRIES = 5
 
 
 class RecoveredBills(msgspec.Struct, kw_only=True, frozen=True):
-    """What became of bills that were handed over.
+    """The result of a recovery, as ids of attempts.
 
-    `billed` attempts stand in a ledger and may be settled at once; `added`
-    ones wait in this entry's ledger; `refused` ones are not held here, and
-    the agent has to hand them over again.
+    The bills of `billed` attempts are in a ledger and may be settled at once.
+    Those of `added` attempts wait in this entry's ledger for its next flush.
+    Those of `refused` attempts aren't kept here; the agent must hand them over
+    again.
     """
 
     billed: tuple[str, ...] = ()
@@ -61,12 +61,12 @@
     sealed: SealedLedgers | None = None,
     clock: Callable[[], float] = time.time,
 ) -> RecoveredBills | Unavailable:
-    """Add those bills to the ledger that none of the holders' ledgers has.
+    """Add the bills that are in none of the holders' ledgers to this ledger.
 
-    `into` is the ledger that the agent will name as this entry's.  It has
-    to be the one the bills go into: were they added to another, a later
-    recovery would neither seal nor read that one.  With `sealed` kept from
-    call to call, each lost ledger is read once.
+    `into` is the ledger that the agent will name as this entry's, and must be the
+    incarnation of `ledger`.  If the bills went into another one, a later recovery
+    would neither seal nor read it.  With a `sealed` cache that is kept between
+    calls, each lost ledger is read once.
     """
     missing = {bill.attempt: bill for bill in bills}
     attempts = set(missing)
@@ -79,7 +79,7 @@
         head = await seal_ledger(store=store, incarnation=holder, clock=clock)
         if isinstance(head, Unavailable):
             return head
-        if head.folded and head.totals:
+        if head.compacted and head.totals:
             return _refuse_late(holder, missing, attempts)
         found = await sealed.find(incarnation=holder, head=head, attempts=set(missing))
         if isinstance(found, Unavailable):
@@ -94,19 +94,21 @@
 def _refuse_late(
     holder: str, missing: dict[str, Bill], attempts: set[str]
 ) -> RecoveredBills:
-    """Leave bills out whose holder's lines are gone.
+    """Refuse the remaining bills because the holder's ledger was compacted.
 
-    With the lines the proof is gone that a bill isn't among them: rather
-    leave one out than bill it twice.
+    Without the ledger's lines nobody can tell whether a bill was among them.
+    Leaving a bill out is better than billing it twice.
     """
     log.error("custody: too late for bills of {}: {}", holder, [*missing])
-    return RecoveredBills(refused=tuple(missing), billed=_leave(attempts, missing))
+    return RecoveredBills(
+        refused=tuple(missing), billed=_list_billed(attempts, missing)
+    )
 
 
 async def _find_own(
     store: ObjectStore, ledger: Ledger, attempts: set[str]
 ) -> set[str] | Unavailable:
-    """Return the attempts on pages that the ledger itself has forgotten."""
+    """Return the attempts that the ledger flushed but no longer remembers."""
     if not ledger.has_forgotten:
         return set()
     return await find_on_pages(
@@ -122,16 +124,16 @@
     return {name: bill for name, bill in missing.items() if name not in found}
 
 
-def _leave(attempts: set[str], missing: dict[str, Bill]) -> tuple[str, ...]:
-    """Return the attempts that were found in a ledger."""
+def _list_billed(attempts: set[str], missing: dict[str, Bill]) -> tuple[str, ...]:
+    """Return the attempts that were found in a ledger, sorted."""
     return tuple(sorted(attempts - set(missing)))
 
 
 def _add_missing(
     ledger: Ledger, missing: dict[str, Bill], attempts: set[str]
 ) -> RecoveredBills:
-    """Add the missing bills and sort the attempts by what became of them."""
-    billed = list(_leave(attempts, missing))
+    """Add the missing bills to the ledger and group the attempts by the result."""
+    billed = list(_list_billed(attempts, missing))
     added: list[str] = []
     refused: list[str] = []
     for attempt, bill in missing.items():
@@ -156,13 +158,13 @@
 ) -> LedgerHead | Unavailable:
     """Seal a ledger and return its head, which never changes again.
 
-    A ledger that never was is made as a sealed one.  Otherwise its entry
-    could still make it, and flush the bills that are being recovered.
+    A ledger that doesn't exist is created as a sealed one.  Otherwise its entry
+    could still create it and flush the bills that are being recovered.
     """
-    # Only a head that equals the one written here counts as written here.
-    # One that somebody else sealed may hold a page more, flushed in between;
-    # overlooking that page would bill it twice.
-    for _ in range(SEAL_ROUNDS):
+    # `put_record` recognises only a head equal to the one written here.  A head that
+    # somebody else sealed may count one more page, flushed in between.  Ignoring
+    # that page would bill its attempts twice.
+    for _ in range(SEAL_TRIES):
         found = await read_record(
             store=store, kind=HEAD_KIND, name=incarnation, record=LedgerHead
         )
--- a/eelgrassrack/store/sealed.py
+++ b/eelgrassrack/store/sealed.py
@@ -1,9 +1,8 @@
-"""The attempts of sealed ledgers, kept for a while once read.
+"""A cache of the attempts in sealed ledgers.
 
-A lost entry's bills are handed over by hundreds of agents, one after the
-other.  Read for each of them anew, its ledger would cost the platform tens
-of thousands of reads.  A sealed ledger never changes, so what was read
-stays true.
+Hundreds of agents hand over the bills of a lost entry, one after the other.
+Reading the entry's ledger for each of them would cost the platform tens of
+thousands of reads.  A sealed ledger never changes, so the cache stays valid.
 """
 
 import array
@@ -16,15 +15,15 @@
 from .pages import LedgerHead, Page, read_page
 from .throttling import retry_throttled
 
-# Ledgers kept.  One of 128 pages with 410 attempts takes 0.4 MB.
-KEPT_LEDGERS = 8
+# A ledger of 128 pages with 410 attempts each takes 0.4 MB.
+MAX_CACHED_LEDGERS = 8
 
 
 class SealedLedgers:
-    """Tell which attempts stand in sealed ledgers.
+    """Find out which attempts are in sealed ledgers.
 
-    Of each attempt a 64-bit digest is kept.  That one of 52,000 is taken
-    for another has a chance below one in 10**14.
+    Each attempt is kept as a 64-bit digest.  With 52,000 attempts, the probability
+    that another attempt is mistaken for one of them is below 1 in 10**14.
     """
 
     __slots__ = ("_digests", "_store")
@@ -38,7 +37,7 @@
     async def find(
         self, *, incarnation: str, head: LedgerHead, attempts: set[str]
     ) -> set[str] | Unavailable:
-        """Return those of the attempts that stand in a sealed ledger."""
+        """Return the subset of `attempts` that is in a sealed ledger."""
         digests = self._digests.get(incarnation)
         if digests is None:
             digests = await self._read(incarnation, head.pages)
@@ -46,12 +45,12 @@
             return digests
         self._digests[incarnation] = digests
         self._digests.move_to_end(incarnation)
-        if len(self._digests) > KEPT_LEDGERS:
+        if len(self._digests) > MAX_CACHED_LEDGERS:
             self._digests.popitem(last=False)
-        return {attempt for attempt in attempts if _has(digests, attempt)}
+        return {attempt for attempt in attempts if _contains(digests, attempt)}
 
     async def _read(self, incarnation: str, pages: int) -> array.array | Unavailable:
-        """Return the sorted digests of all attempts on some pages."""
+        """Return the sorted digests of all attempts on a ledger's first pages."""
         digests = array.array("Q")
         for number in range(pages):
             page = await _read_page(self._store, incarnation, number)
@@ -64,7 +63,7 @@
 async def find_on_pages(
     *, store: ObjectStore, incarnation: str, pages: int, attempts: set[str]
 ) -> set[str] | Unavailable:
-    """Return those of the attempts that stand on a ledger's first pages."""
+    """Return the subset of `attempts` that is on a ledger's first pages."""
     found: set[str] = set()
     for number in range(pages):
         page = await _read_page(store, incarnation, number)
@@ -86,7 +85,7 @@
     return xxhash.xxh3_64_intdigest(attempt.encode())
 
 
-def _has(digests: array.array, attempt: str) -> bool:
+def _contains(digests: array.array, attempt: str) -> bool:
     digest = _digest(attempt)
-    place = bisect.bisect_left(digests, digest)
-    return place < len(digests) and digests[place] == digest
+    position = bisect.bisect_left(digests, digest)
+    return position < len(digests) and digests[position] == digest
--- a/eelgrassrack/store/sweeper.py
+++ b/eelgrassrack/store/sweeper.py
@@ -1,14 +1,13 @@
-"""Removal of records that nobody needs any more.
+"""Removal of expired records.
 
-Records that outlive their use would fill the platform's service.  One
-entry at a time looks through them, a few each round; a lease keeps the
-others from doing the same work.  Should two sweep all the same, no harm is
-done: each removal is conditional on the version that was judged.
+Expired records would otherwise fill up the platform's service.  One entry at a time
+checks a few records per round; a lease keeps the others from doing the same work.
+If two entries sweep at once, no harm is done: each removal is conditional on the
+version that was checked.
 
-Store calls of a round: a listing and at most `LIMIT` reads for each kind,
-and a removal for each record that is over; the lease takes a read and a
-write in each third of its duration, and a read from each entry that waits
-for it.
+Store calls in a round: a listing and at most `RECORDS_PER_ROUND` reads for each
+kind, and a removal for each expired record.  The lease takes a read and a write in
+each third of its duration, and a read from each entry that waits for it.
 """
 
 import asyncio
@@ -27,22 +26,22 @@
 LEASE_NAME = "sweeper"
 LEASE_SECONDS = 60.0
 
-# Records of one kind looked at in a round, and seconds between rounds.  This
-# keeps up with five new records of a kind each second, and leaves most of
-# a daemon's call budget to callers' requests.
-LIMIT = 5
+# How many records of each kind are checked in a round, and the time between rounds.
+# This keeps up with five new records of a kind each second, and leaves most of a
+# daemon's call budget to callers' requests.
+RECORDS_PER_ROUND = 5
 ROUND_SECONDS = 1.0
 
 
 class Sweepable(Protocol):
-    """Records that can be swept."""
+    """A kind of records that can be swept."""
 
     async def sweep(self, *, limit: int) -> Swept | Unavailable:
-        """Remove what is over, looking at `limit` records at most."""
+        """Remove expired records, after checking at most `limit` records."""
 
 
-class Waits(msgspec.Struct, kw_only=True, frozen=True):
-    """Nothing was swept; try again after some seconds."""
+class RetryLater(msgspec.Struct, kw_only=True, frozen=True):
+    """The sweep was skipped or cut short; try again after `seconds`."""
 
     seconds: float
 
@@ -67,22 +66,22 @@
         self._lease: HeldLease | None = None
 
     async def run(self) -> None:
-        """Sweep for ever."""
+        """Sweep forever."""
         while True:
             result = await self.sweep()
-            wait = result.seconds if isinstance(result, Waits) else ROUND_SECONDS
+            wait = result.seconds if isinstance(result, RetryLater) else ROUND_SECONDS
             await asyncio.sleep(wait)
 
-    async def sweep(self) -> Swept | Waits:
-        """Sweep a few records of each kind, provided the lease is held."""
-        waits = await self._hold()
-        if waits:
-            return waits
+    async def sweep(self) -> Swept | RetryLater:
+        """Sweep a few records of each kind if this process holds the lease."""
+        retry = await self._ensure_lease()
+        if retry:
+            return retry
         looked_at = removed = 0
         for kind in self._kinds:
-            match await kind.sweep(limit=LIMIT):
+            match await kind.sweep(limit=RECORDS_PER_ROUND):
                 case Unavailable(retry_after=seconds):
-                    return Waits(seconds=seconds)
+                    return RetryLater(seconds=seconds)
                 case Swept() as swept:
                     looked_at += swept.looked_at
                     removed += swept.removed
@@ -91,27 +90,27 @@
         return Swept(looked_at=looked_at, removed=removed)
 
     async def stop(self) -> None:
-        """Leave the lease to another entry."""
+        """Release the lease, so that another entry can sweep."""
         if self._lease is not None:
             await self._leases.release(lease=self._lease)
             self._lease = None
 
-    async def _hold(self) -> Waits | None:
-        """Take or renew the lease; return how long to wait without it."""
+    async def _ensure_lease(self) -> RetryLater | None:
+        """Acquire or renew the lease; if that fails, return how long to wait."""
         now = self._clock()
         if self._lease and now < self._lease.until - LEASE_SECONDS / 2:
             return None
-        match await self._take():
+        match await self._request_lease():
             case HeldLease() as lease:
                 self._lease = lease
                 return None
             case LeaseTaken(wait=wait):
                 self._lease = None
-                return Waits(seconds=max(wait, ROUND_SECONDS))
+                return RetryLater(seconds=max(wait, ROUND_SECONDS))
             case Unavailable(retry_after=seconds):
-                return Waits(seconds=max(seconds, ROUND_SECONDS))
+                return RetryLater(seconds=max(seconds, ROUND_SECONDS))
 
-    async def _take(self) -> HeldLease | LeaseTaken | Unavailable:
+    async def _request_lease(self) -> HeldLease | LeaseTaken | Unavailable:
         if self._lease is not None:
             return await self._leases.renew(lease=self._lease)
         return await self._leases.acquire(
--- a/eelgrassrack/store/tokens.py
+++ b/eelgrassrack/store/tokens.py
@@ -1,7 +1,7 @@
-"""Signed session tokens: a session's version, kept by the caller itself.
+"""Signed session tokens, by which the caller itself keeps a session's version.
 
-A token needs no write to the store and outlives every instance.  Only
-entries know the secret, so that a caller can't choose a version by one.
+A token needs no write to the store and outlives every instance.  Only entries know
+the secret, so a caller can't forge a token to choose a version.
 """
 
 import base64
@@ -15,18 +15,18 @@
 
 MAC_BYTES = 32
 
-# A token travels in a header; a longer one is none of ours.
-LONGEST_TOKEN = 2048
+# Tokens are sent in a header.  Entries don't issue longer ones.
+MAX_TOKEN_CHARACTERS = 2048
 
 
 class TokenRead(msgspec.Struct, kw_only=True, frozen=True):
-    """The version that an entry signed for this session and model."""
+    """The token is valid, and was signed for this version."""
 
     version: str
 
 
 class BadToken(msgspec.Struct, kw_only=True, frozen=True):
-    """A text that isn't a token of this session, and why."""
+    """The text isn't a valid token for this session, for this reason."""
 
     reason: str
 
@@ -34,7 +34,7 @@
 def sign_token(
     *, secret: bytes, organisation: str, session: str, model: str, version: str
 ) -> str:
-    """Return a token; the text is safe in a header."""
+    """Return a token as text that is safe in a header."""
     if not secret:
         raise StoreError("session tokens need a secret")
     body = msgspec.msgpack.encode((organisation, session, model, version))
@@ -44,8 +44,8 @@
 def read_token(
     *, secret: bytes, token: str, organisation: str, session: str, model: str
 ) -> TokenRead | BadToken:
-    """Return the version in a token that was signed for just this session."""
-    if not secret or len(token) > LONGEST_TOKEN:
+    """Verify that a token was signed for this session, and return its version."""
+    if not secret or len(token) > MAX_TOKEN_CHARACTERS:
         return BadToken(reason="not a session token")
     try:
         data = base64.b64decode(token.encode(), altchars=b"-_", validate=True)
--- a/eelgrassrack/store/totals.py
+++ b/eelgrassrack/store/totals.py
@@ -1,4 +1,4 @@
-"""What each organisation's bills add up to, read from all ledgers."""
+"""Totals of each organisation's bills over all ledgers."""
 
 import collections
 import itertools
@@ -12,17 +12,17 @@
 from .records import VersionedRecord, read_record
 from .throttling import retry_throttled
 
-# So many attempts are held against each other at a time.  At 670 bytes for
-# each (measured) they take 330 MB, in the operators' command alone.
+# How many attempts are checked for duplicates at a time.  At 670 bytes each they take
+# 330 MB, but only in the operators' command.
 GROUP_ATTEMPTS = 500_000
 
 
 class OrganisationBills(msgspec.Struct, kw_only=True):
-    """One organisation's bills; `money` is in millionths of the money unit.
+    """Totals of one organisation; `money` is in millionths of the money unit.
 
-    `requests` are what is billed: each once, for one attempt at each of
-    its steps.  `repeated` attempts ran at a step that another one of the
-    same request is billed for.
+    Each request is billed once, for one attempt at each of its steps.  `attempts`
+    counts these.  `repeated` counts the attempts at steps for which another attempt
+    is billed.
     """
 
     organisation: str
@@ -35,11 +35,11 @@
 
 
 class BillTotals(msgspec.Struct, kw_only=True, frozen=True):
-    """All bills, and attempts that stand there twice (there must be none).
+    """Totals of all bills, and `doubled` attempts, of which there must be none.
 
-    Ledgers are added up in groups to bound memory.  Attempts, steps and
-    requests are told apart within a group; with `groups` above one, what
-    stands in two of them was counted in both.
+    Ledgers are added up in groups to limit memory.  Duplicate attempts, steps and
+    requests are recognised only within a group.  With more than one group, those
+    that occur in two groups are counted in both.
     """
 
     organisations: tuple[OrganisationBills, ...]
@@ -49,11 +49,11 @@
     complete: bool = True
 
 
-class Lines:
-    """The lines read so far, one for each step of a request.
+class LineSummary:
+    """The lines read so far, with one line for each step of a request.
 
-    Of several attempts at a step the one with the lowest id is kept, so
-    that the totals don't depend on the order of reading.
+    Of several attempts at a step, the one with the lowest id is kept, so the totals
+    don't depend on the order in which lines are read.
     """
 
     __slots__ = ("attempts", "doubled", "repeated", "steps")
@@ -65,27 +65,27 @@
         self.steps: dict[tuple[str, int], BillLine] = {}
 
     def add(self, line: BillLine) -> None:
-        """Add one line unless its attempt was added before."""
+        """Add a line, unless its attempt was added before."""
         attempt = xxhash.xxh3_128_intdigest(line.attempt.encode())
         if attempt in self.attempts:
             self.doubled.append(line.attempt)
             return
         self.attempts.add(attempt)
         step = (line.request, line.step)
-        before = self.steps.setdefault(step, line)
-        if before is line:
+        current = self.steps.setdefault(step, line)
+        if current is line:
             return
         self.repeated[line.organisation] += 1
-        if line.attempt < before.attempt:
+        if line.attempt < current.attempt:
             self.steps[step] = line
 
-    def forget(self) -> None:
-        """Forget all lines but not which attempts were doubled."""
+    def clear(self) -> None:
+        """Drop all lines, but keep the list of doubled attempts."""
         self.attempts.clear()
         self.steps.clear()
 
     def sum_up(self) -> tuple[OrganisationBills, ...]:
-        """Return the organisations' totals by name."""
+        """Return the totals of each organisation, sorted by name."""
         sums: dict[str, OrganisationBills] = {}
         requests = {line.request: line.organisation for line in self.steps.values()}
         for line in self.steps.values():
@@ -106,20 +106,20 @@
 async def read_totals(
     *, store: ObjectStore, invariants: Invariants, group_attempts: int = GROUP_ATTEMPTS
 ) -> BillTotals | Unavailable:
-    """Add up all ledgers, checking that no attempt stands there twice."""
+    """Add up all ledgers, and check that no attempt is billed twice."""
     names = await store.find_names(kind=HEAD_KIND, prefix="")
     if not isinstance(names, Names):
         return names
-    groups = [Lines()]
+    groups = [LineSummary()]
     sums: dict[str, OrganisationBills] = {}
     for incarnation in names.names:
         if len(groups[-1].attempts) >= group_attempts:
-            _fold(sums, groups[-1])
-            groups.append(Lines())
+            _add_group(sums, groups[-1])
+            groups.append(LineSummary())
         failed = await _add_ledger(store, incarnation, groups[-1], sums)
         if failed:
             return failed
-    _fold(sums, groups[-1])
+    _add_group(sums, groups[-1])
     doubled = tuple(itertools.chain.from_iterable(group.doubled for group in groups))
     invariants.check(Promise.BILLED_ONCE, not doubled, f"billed twice: {doubled[:5]}")
     return BillTotals(
@@ -130,15 +130,15 @@
     )
 
 
-def _fold(sums: dict[str, OrganisationBills], lines: Lines) -> None:
-    """Add a group's totals to the sums and forget its lines."""
+def _add_group(sums: dict[str, OrganisationBills], lines: LineSummary) -> None:
+    """Add a group's totals to the sums and drop its lines."""
     for bills in lines.sum_up():
         _add_bills(sums, bills)
-    lines.forget()
+    lines.clear()
 
 
 def _add_bills(sums: dict[str, OrganisationBills], bills: OrganisationBills) -> None:
-    """Add an organisation's bills to its sums."""
+    """Add an organisation's totals to the sums."""
     total = sums.setdefault(
         bills.organisation, OrganisationBills(organisation=bills.organisation)
     )
@@ -153,10 +153,10 @@
 async def _add_ledger(
     store: ObjectStore,
     incarnation: str,
-    lines: Lines,
+    lines: LineSummary,
     sums: dict[str, OrganisationBills],
 ) -> Unavailable | None:
-    """Add a ledger's pages, or the totals that are left of them."""
+    """Add the lines of a ledger, or its totals if it is compacted."""
     head = await retry_throttled(
         lambda: read_record(
             store=store, kind=HEAD_KIND, name=incarnation, record=LedgerHead
@@ -167,7 +167,7 @@
             return head
         case Absent():
             return None
-        case VersionedRecord(record=record) if record.folded:
+        case VersionedRecord(record=record) if record.compacted:
             for total in record.totals:
                 _add_bills(sums, OrganisationBills(**msgspec.structs.asdict(total)))
             return None
@@ -179,9 +179,9 @@
 
 
 async def read_lines(
-    *, store: ObjectStore, incarnation: str, pages: range, lines: Lines
+    *, store: ObjectStore, incarnation: str, pages: range, lines: LineSummary
 ) -> Unavailable | None:
-    """Add the lines of a ledger's pages, one page at a time."""
+    """Read a ledger's pages and add their lines, one page at a time."""
     for number in pages:
         page = await retry_throttled(
             lambda number=number: read_page(
--- a/test/store/steps.py
+++ b/test/store/steps.py
@@ -1,4 +1,4 @@
-"""Run coroutines step by step, so that a test decides each interleaving."""
+"""Helpers that run coroutines step by step, so that a test decides the interleaving."""
 
 import collections
 import types
@@ -13,10 +13,10 @@
 
 
 class FaultyStore:
-    """An object store whose next calls meet the faults in `faults`.
+    """An object store that applies the queued `faults` to its next calls.
 
-    "down" means that nothing happened, "lost" that a write took effect
-    and only its answer got lost; any other word is no fault.
+    With "down" a call has no effect.  With "lost" it takes effect, but its answer is
+    lost.  Any other text means no fault.
     """
 
     def __init__(self):
@@ -40,15 +40,15 @@
 
 @types.coroutine
 def pause():
-    """Hand control back to the test, which tells what befalls the call."""
+    """Return control to the test, which resumes the call with a fault or None."""
     return (yield)
 
 
 class SteppedStore:
     """An object store that pauses before and after each call takes effect.
 
-    The test answers a pause with a fault: "down" before a call means that
-    nothing happened, "lost" after a write that only its answer got lost.
+    The test resumes a pause with a fault or None.  "down" before the call prevents
+    its effect; "lost" after the call loses its answer.
     """
 
     def __init__(self, store):
@@ -67,8 +67,8 @@
         return run
 
 
-class Steps:
-    """A coroutine and, once it has ended, its result."""
+class Task:
+    """A coroutine that runs step by step, and its result once it has ended."""
 
     def __init__(self, coroutine):
         self.coroutine = coroutine
@@ -84,53 +84,53 @@
             self.result = end.value
 
     def kill(self):
-        """End the coroutine where it stands, as kill -9 would."""
+        """Abort the coroutine at its current pause, as kill -9 would."""
         self.coroutine.close()
 
 
 def run(coroutine):
-    """Run a coroutine to its end without faults."""
-    steps = Steps(coroutine)
-    while not steps.ended:
-        steps.step()
-    return steps.result
+    """Run a coroutine to its end without faults and return its result."""
+    task = Task(coroutine)
+    while not task.ended:
+        task.step()
+    return task.result
 
 
-class Crew:
-    """Processes that run side by side, one step of one at a time."""
+class Scheduler:
+    """Runs tasks concurrently, one step of one task at a time."""
 
     def __init__(self):
         self.running = []
 
     def start(self, coroutine):
-        """Start one, up to its first pause."""
-        steps = Steps(coroutine)
-        steps.step()
-        if not steps.ended:
-            self.running.append(steps)
-        return steps
+        """Start a task and run it to its first pause."""
+        task = Task(coroutine)
+        task.step()
+        if not task.ended:
+            self.running.append(task)
+        return task
 
     def step(self, number, fault):
-        """Run one of them to its next pause."""
+        """Run one of the running tasks to its next pause."""
         if not self.running:
             return
-        steps = self.running[number % len(self.running)]
-        steps.step(fault)
-        if steps.ended:
-            self.running.remove(steps)
+        task = self.running[number % len(self.running)]
+        task.step(fault)
+        if task.ended:
+            self.running.remove(task)
 
-    def advance(self, steps, count):
-        """Run one of them for some steps, or to its end."""
+    def advance(self, task, count):
+        """Run a task for `count` steps, or to its end."""
         for _ in range(count):
-            if not steps.ended:
-                self.step(self.running.index(steps), None)
+            if not task.ended:
+                self.step(self.running.index(task), None)
 
     def kill(self, number):
-        """End one of them where it stands."""
+        """Abort one of the running tasks."""
         if self.running:
             self.running.pop(number % len(self.running)).kill()
 
     def finish(self):
-        """Run all that are left to their ends."""
+        """Run all remaining tasks to their end."""
         while self.running:
             self.step(0, None)
--- a/test/store/test_claims.py
+++ b/test/store/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests that a request that may not be repeated runs at most once."""
+"""Tests that a request that must not be repeated runs at most once."""
 
 import itertools
 
@@ -16,7 +16,7 @@
     make_claim_name,
 )
 from eelgrassrack.store.claims import (
-    SWEEP_MARGIN,
+    SWEEP_MARGIN_SECONDS,
     ClaimAcquired,
     Claims,
     ClaimUnavailable,
@@ -25,7 +25,7 @@
 )
 from eelgrassrack.store.sweeping import PREFIX_DIGITS, Swept
 
-from .steps import Crew, FaultyStore, SteppedStore, make_store, pause, run
+from .steps import FaultyStore, Scheduler, SteppedStore, make_store, pause, run
 
 NAME = make_claim_name(organisation="registrar", operation="issue", key="k1")
 EXPIRES_AT = 1000.0
@@ -49,7 +49,7 @@
 
 
 class Kit:
-    """Claims on a store of their own, with a clock to set."""
+    """A `Claims` with its own store and a clock that the test sets."""
 
     def __init__(self):
         self.store = FaultyStore()
@@ -78,10 +78,10 @@
 
 
 def test_lost_answer_to_take(kit):
-    """The store makes the claim, but its answer is lost.
+    """The store creates the claim, but its answer is lost.
 
-    An entry that took this for a failure would refuse the credential issue
-    and bar each resend by a claim that nobody works on.
+    An entry that treated this as a failure would refuse the credential issue, and the
+    stored claim would block each resend although nobody works on it.
     """
     kit.store.faults.extend(["lost"])
     assert kit.acquire("a1") == ClaimAcquired(version=1)
@@ -89,11 +89,11 @@
 
 
 def test_unclear_take_is_taken_over(kit):
-    """The claim is made, its answer is lost and the store goes down.
+    """The claim is created, its answer is lost and the store goes down.
 
-    The caller is told "not run", which is true as nothing was sent.  The
-    resend asks the agent, which vows never to start the first attempt, and
-    must then be able to run.
+    The caller gets "not run", which is true as nothing was sent.  The resend asks the
+    agent, which keeps a tombstone for the first attempt.  The resend must then be able
+    to run.
     """
     kit.store.faults.extend(["lost", "down", "down", "down", "down", "down"])
     taken = kit.acquire("a1")
@@ -113,10 +113,10 @@
 
 
 def test_paused_entry_is_overtaken(kit):
-    """An entry claims, is paused, and its resend runs through another entry.
+    """An entry acquires a claim and is paused; the resend runs through another entry.
 
-    When it wakes, its agent refuses the old attempt.  It must not get
-    another attempt into the claim, but be given the certificate's number.
+    When the entry resumes, its agent refuses the old attempt.  The entry must not put
+    another attempt into the claim, but get the recorded certificate number.
     """
     old = make_claim("a1")
     assert kit.acquire("a1") == ClaimAcquired(version=1)
@@ -132,7 +132,7 @@
 
 
 def test_claim_of_finished_request_is_kept(kit):
-    """An entry reads an outcome and still tries to take the claim over."""
+    """An entry reads an outcome and still tries to take over the claim."""
     done = make_done(make_claim("a1"))
     kit.acquire("a1")
     kit.finish(done, 1)
@@ -145,7 +145,7 @@
 
 
 def test_lost_answer_to_finish(kit):
-    """The outcome is recorded, the answer to that lost, and it is retried."""
+    """The outcome is stored, the store's answer is lost, and the entry retries."""
     kit.acquire("a1")
     done = make_done(make_claim("a1"))
     kit.store.faults.extend(["lost", "down", "down", "down", "down", "down"])
@@ -154,10 +154,10 @@
 
 
 def test_outcome_replaces_unknown(kit):
-    """An entry cut off from the agent records that the outcome is unknown.
+    """An entry that can't reach the agent stores that the outcome is unknown.
 
-    The entry that has the answer puts it there afterwards; the other way
-    round an answer on record must not be lost.
+    The entry that has the answer stores it afterwards.  A stored answer must not be
+    replaced by "unknown" in turn.
     """
     kit.acquire("a1")
     unknown = make_claim("a1", state=ClaimState.UNKNOWN)
@@ -167,8 +167,8 @@
     assert kit.finish(unknown, 2) == ExistingClaim(claim=done, version=3)
 
 
-def test_broken_vow_is_noticed(kit):
-    """An agent vows never to start an attempt and runs it all the same."""
+def test_ignored_tombstone_is_noticed(kit):
+    """An agent keeps a tombstone for an attempt and runs it nevertheless."""
     kit.acquire("a1")
     run(
         kit.claims.take_over(
@@ -188,14 +188,14 @@
 
 
 def test_released_claim_is_taken(kit):
-    """No endpoint took the request, so that the caller was told "not run"."""
+    """No endpoint accepted the request, so the caller got "not run"."""
     kit.acquire("a1")
     run(kit.claims.release(name=NAME, version=1, claim=make_claim("a1")))
     assert kit.acquire("a2") == ClaimAcquired(version=3)
 
 
 def test_large_answer_leaves_outcome(kit):
-    """An answer too large to keep must not cost the record of the outcome."""
+    """The outcome must be stored even if the answer is too large to keep."""
     kit.acquire("a1")
     done = make_claim(
         "a1", state=ClaimState.DONE, status=200, answer=b"x" * (MAX_ANSWER_BYTES + 1)
@@ -206,13 +206,13 @@
 
 
 def test_sweep_removes_only_long_expired(kit):
-    """A claim that just expired stays, as an entry may still act on it."""
+    """A claim that expired just now stays, as an entry may still use it."""
     kit.acquire("a1")
     rounds = 16**PREFIX_DIGITS
-    kit.now = EXPIRES_AT + SWEEP_MARGIN - 1
+    kit.now = EXPIRES_AT + SWEEP_MARGIN_SECONDS - 1
     swept = [run(kit.claims.sweep(limit=10)) for _ in range(rounds)]
-    assert sum(one.looked_at for one in swept) == 1
-    assert all(one.removed == 0 for one in swept)
+    assert sum(sweep.looked_at for sweep in swept) == 1
+    assert all(sweep.removed == 0 for sweep in swept)
     expired = run(
         kit.claims.take_over(
             name=NAME,
@@ -224,26 +224,26 @@
     assert isinstance(expired, ClaimUnavailable)
     kit.now += 1
     swept = [run(kit.claims.sweep(limit=10)) for _ in range(rounds)]
-    assert sum(one.removed for one in swept) == 1
+    assert sum(sweep.removed for sweep in swept) == 1
 
 
 def test_sweep_is_bounded(kit):
     for number in range(5):
         name = f"00{number:062x}"
         run(kit.claims.acquire(name=name, claim=make_claim(f"a{number}")))
-    kit.now = EXPIRES_AT + SWEEP_MARGIN
+    kit.now = EXPIRES_AT + SWEEP_MARGIN_SECONDS
     swept = [run(kit.claims.sweep(limit=2)) for _ in range(3)]
     assert swept == [Swept(looked_at=count, removed=count) for count in (2, 2, 1)]
 
 
 class Agent:
-    """An agent that runs attempts or vows never to; a restart forgets both."""
+    """An agent that runs attempts or keeps tombstones; a restart loses both."""
 
     def __init__(self, number, ran):
         self.number = number
         self.restarts = 0
         self.started = {}
-        self.vowed = set()
+        self.tombstones = set()
         self.ran = ran
 
     @property
@@ -251,8 +251,8 @@
         return f"{self.number}.{self.restarts}"
 
     def start(self, key, attempt, incarnation):
-        """Return the answer, or None for a vow."""
-        if incarnation != self.incarnation or attempt in self.vowed:
+        """Return the answer, or None for a tombstone."""
+        if incarnation != self.incarnation or attempt in self.tombstones:
             return None
         if attempt not in self.started:
             self.started[attempt] = f"{key} by {attempt}".encode()
@@ -260,23 +260,23 @@
         return self.started[attempt]
 
     def ask(self, attempt, incarnation):
-        """Return the answer, None for a vow, or "gone"."""
+        """Return the answer, None for a tombstone, or "gone" after a restart."""
         if incarnation != self.incarnation:
             return "gone"
         if attempt not in self.started:
-            self.vowed.add(attempt)
+            self.tombstones.add(attempt)
         return self.started.get(attempt)
 
     def restart(self):
         self.restarts += 1
         self.started = {}
-        self.vowed = set()
+        self.tombstones = set()
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Entries, agents and a store at the mercy of the test's steps.
+    """Entries, agents and a store, interleaved by the test.
 
-    The oracle: what each key ran, and what its callers were told.
+    The checks compare what ran for each key with what its callers were told.
     """
 
     def __init__(self):
@@ -291,7 +291,7 @@
             clock=lambda: 0.0,
             invariants=Invariants(strict=True),
         )
-        self.crew = Crew()
+        self.scheduler = Scheduler()
 
     def make(self, number):
         agent = self.agents[number]
@@ -331,7 +331,7 @@
         return None
 
     async def dispatch(self, key, claim):
-        """Send the attempt; a lost answer is asked for."""
+        """Send the attempt, and ask the agent for a lost answer."""
         agent = self.agents[int(claim.endpoint)]
         if await pause() == "down":
             return agent.ask(claim.attempt, claim.agent)
@@ -341,7 +341,7 @@
         return answer
 
     async def conclude(self, key, name, version, claim, answer):
-        """Record what became of the attempt and tell the caller."""
+        """Store the attempt's outcome and return the answer to the caller."""
         known = answer != "gone"
         claim = msgspec.structs.replace(
             claim,
@@ -363,11 +363,11 @@
         steps=st.integers(0, 8),
     )
     def request(self, key, number, steps):
-        """Let a caller's request come and get some way."""
-        if len(self.crew.running) >= 4:
+        """Start a caller's request and run some of its steps."""
+        if len(self.scheduler.running) >= 4:
             return
-        request = self.crew.start(self.serve(key, number))
-        self.crew.advance(request, steps)
+        request = self.scheduler.start(self.serve(key, number))
+        self.scheduler.advance(request, steps)
 
     @rule(
         number=st.integers(0, 3),
@@ -375,18 +375,18 @@
         fault=st.sampled_from((None, None, None, "down", "lost")),
     )
     def step(self, number, steps, fault):
-        self.crew.step(number, fault)
+        self.scheduler.step(number, fault)
         for _ in range(steps - 1):
-            self.crew.step(number, None)
+            self.scheduler.step(number, None)
 
-    @rule(number=st.integers(0, 3), luck=st.integers(0, 3))
-    def kill_entry(self, number, luck):
-        if luck == 0:
-            self.crew.kill(number)
+    @rule(number=st.integers(0, 3), draw=st.integers(0, 3))
+    def kill_entry(self, number, draw):
+        if draw == 0:
+            self.scheduler.kill(number)
 
-    @rule(number=st.sampled_from(AGENTS), luck=st.integers(0, 3))
-    def restart_agent(self, number, luck):
-        if luck == 0:
+    @rule(number=st.sampled_from(AGENTS), draw=st.integers(0, 3))
+    def restart_agent(self, number, draw):
+        if draw == 0:
             self.agents[number].restart()
 
     @invariant()
@@ -404,11 +404,11 @@
         assert not {attempt for _, attempt in self.ran} & set(self.not_run)
 
     def teardown(self):
-        """Let all end, then resend each key twice through other entries.
+        """Finish all requests, then resend each key twice through other entries.
 
-        Both are told the same: the one answer, or that it is unknown.
+        Both resends must get the same result: the one answer, or "unknown".
         """
-        self.crew.finish()
+        self.scheduler.finish()
         for key in sorted(set(KEYS)):
             first, second = (run(self.serve(key, number)) for number in AGENTS)
             assert first is not None
--- a/test/store/test_compaction.py
+++ b/test/store/test_compaction.py
@@ -1,10 +1,14 @@
-"""Tests that old ledgers shrink to their totals and lose nothing."""
+"""Tests that compacting old ledgers keeps their totals."""
 
 import pytest
 
 from eelgrassrack.invariants import Invariants
 from eelgrassrack.mailbox.messages import Bill
-from eelgrassrack.store.compaction import IDLE_SECONDS, KEPT_SECONDS, LedgerCompactor
+from eelgrassrack.store.compaction import (
+    IDLE_SECONDS,
+    RETENTION_SECONDS,
+    LedgerCompactor,
+)
 from eelgrassrack.store.ledger import Ledger, LedgerSealed
 from eelgrassrack.store.objects import Unavailable
 from eelgrassrack.store.pages import PAGE_KIND
@@ -28,18 +32,18 @@
     )
 
 
-async def rest():
-    """Take no rest."""
+async def pause():
+    """Return at once."""
 
 
 class Kit:
-    """A ledger of three attempts on three pages, and a clock to set."""
+    """A ledger with three attempts on three pages, and a clock that the test sets."""
 
     def __init__(self):
         self.now = 1e9
         self.store = FaultyStore()
-        self.archive = LedgerCompactor(
-            store=self.store, clock=self.read_clock, rest=rest
+        self.compactor = LedgerCompactor(
+            store=self.store, clock=self.read_clock, pause=pause
         )
         self.ledger = self.make_ledger("old")
         for attempt in ATTEMPTS:
@@ -61,11 +65,11 @@
 
     def sweep(self, later=0.0):
         self.now += later
-        return run(self.archive.sweep(limit=10))
+        return run(self.compactor.sweep(limit=10))
 
-    def fold(self):
+    def compact(self):
         self.sweep(IDLE_SECONDS + 1)
-        return self.sweep(KEPT_SECONDS + 1)
+        return self.sweep(RETENTION_SECONDS + 1)
 
     def read_bills(self):
         invariants = Invariants(strict=True)
@@ -75,12 +79,12 @@
         return len(run(self.store.find_names(kind=PAGE_KIND, prefix="")).names)
 
     def recover(self, *attempts, holder="old"):
-        heir = self.make_ledger("heir")
+        successor = self.make_ledger("successor")
         return run(
             recover_bills(
                 store=self.store,
-                ledger=heir,
-                into="heir",
+                ledger=successor,
+                into="successor",
                 holders=(holder,),
                 bills=[make_bill(attempt) for attempt in attempts],
                 clock=self.read_clock,
@@ -93,10 +97,10 @@
     return Kit()
 
 
-def test_folding_keeps_the_totals(kit):
+def test_compaction_keeps_the_totals(kit):
     before = kit.read_bills()
     assert kit.sweep() == Swept(looked_at=1, removed=0)
-    assert kit.fold() == Swept(looked_at=1, removed=1)
+    assert kit.compact() == Swept(looked_at=1, removed=1)
     assert kit.count_pages() == 0
     after = kit.read_bills()
     assert after.organisations == before.organisations
@@ -113,34 +117,34 @@
 
 
 def test_paused_entry_finds_its_ledger_sealed(kit):
-    """An entry is paused for a day with a bill that its agent still has."""
+    """An entry is paused for a day with a bill that its agent still keeps."""
     kit.ledger.add(bill=make_bill("a4"), into="old")
     kit.sweep(IDLE_SECONDS + 1)
     assert run(kit.ledger.flush()) == LedgerSealed(dropped=("a4",))
     assert kit.recover("a3", "a4") == RecoveredBills(billed=("a3",), added=("a4",))
 
 
-def test_bill_after_folding_is_refused(kit):
-    """A bill comes so late that nobody can tell whether it was billed."""
-    kit.fold()
+def test_bill_after_compaction_is_refused(kit):
+    """A bill arrives so late that nobody can tell whether it was billed."""
+    kit.compact()
     assert kit.recover("a1", "a5") == RecoveredBills(refused=("a1", "a5"))
 
 
 def test_empty_ledger_is_no_reason_to_refuse(kit):
-    """A ledger was sealed before its first flush, and folded long after."""
+    """A ledger was sealed before its first flush, and compacted much later."""
     run(seal_ledger(store=kit.store, incarnation="empty", clock=kit.read_clock))
-    kit.fold()
+    kit.compact()
     assert kit.recover("a5", holder="empty") == RecoveredBills(added=("a5",))
 
 
 @pytest.mark.parametrize("calls", range(1, 14))
 @pytest.mark.parametrize("fault", ["down", "lost"])
-def test_outage_while_folding(kit, calls, fault):
-    """The store goes away in the middle: the totals hold at each moment."""
+def test_outage_while_compacting(kit, calls, fault):
+    """The store fails during compaction; the totals must be right at every moment."""
     before = kit.read_bills().organisations
     kit.sweep(IDLE_SECONDS + 1)
     kit.store.faults.extend([""] * (calls - 1) + [fault] + ["down"] * 9)
-    assert isinstance(kit.sweep(KEPT_SECONDS + 1), Unavailable)
+    assert isinstance(kit.sweep(RETENTION_SECONDS + 1), Unavailable)
     kit.store.faults.clear()
     assert kit.read_bills().organisations == before
     kit.sweep()
--- a/test/store/test_leases.py
+++ b/test/store/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests that one holder at a time orders an engine about."""
+"""Tests that only one holder at a time may send orders to an engine."""
 
 import itertools
 
@@ -59,7 +59,7 @@
 
 
 def test_lapse_is_seen_by_own_clock(first, second):
-    """A holder is lost; clocks of different instances have nothing in common."""
+    """A holder is lost; the clocks of different instances are unrelated."""
     first.acquire()
     assert second.acquire() == LeaseTaken(holder="first", wait=DURATION)
     second.now += DURATION - 1
@@ -79,10 +79,10 @@
 
 
 def test_paused_holder_is_fenced(first, second):
-    """A holder is paused past its lease, wakes, and gives its order.
+    """A holder is paused past the end of its lease, resumes and sends its order.
 
-    Its clock tells it; and should it be paused between that look and the
-    order, the engine's agent knows the successor's higher number.
+    It notices by its own clock.  If it is paused again between that check and the
+    order, the engine's agent already knows the successor's higher number.
     """
     old = first.acquire()
     second.acquire()
@@ -99,7 +99,7 @@
 
 
 def test_restarted_agent_learns_first():
-    """An agent is restarted and the first order comes from a paused holder."""
+    """An agent is restarted, and the first order comes from a paused holder."""
     fence = Fence()
     assert fence.admit(7) == FenceUnknown()
     fence.learn(9)
@@ -110,8 +110,8 @@
 def test_lost_answers(store, first):
     """A lease is written, its answer lost, and the store is down for a while.
 
-    The holder must neither act on a lease it can't be sure of, nor lock
-    itself out of its own.
+    The holder must neither use a lease that isn't confirmed, nor lock itself out of
+    its own lease.
     """
     store.faults.extend(["", "lost"])
     lease = first.acquire()
@@ -126,7 +126,7 @@
 
 
 def test_duration_counts_from_before_the_write(store, first):
-    """The write takes long; others count from when it took effect."""
+    """The write is slow, and others count from the moment it took effect."""
     create = store.store.create
 
     class Slow:
@@ -142,7 +142,7 @@
 
 
 def test_release_keeps_numbers_growing(first, second):
-    """The next holder's orders must not look old."""
+    """The next holder's orders must not look outdated."""
     old = first.acquire()
     run(first.leases.release(lease=old))
     new = second.acquire()
--- a/test/store/test_ledger.py
+++ b/test/store/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests that each attempt stands exactly once in the ledgers."""
+"""Tests that each attempt is billed exactly once in the ledgers."""
 
 import itertools
 
@@ -13,7 +13,7 @@
 from eelgrassrack.store import ledger as ledger_module
 from eelgrassrack.store.ledger import AddResult, Flushed, Ledger, LedgerSealed
 from eelgrassrack.store.ledgers import (
-    LONGEST_LEDGER_SECONDS,
+    MAX_LEDGER_SECONDS,
     OLD_LEDGER_SECONDS,
     Ledgers,
 )
@@ -23,7 +23,7 @@
 from eelgrassrack.store.sealed import SealedLedgers
 from eelgrassrack.store.totals import read_totals
 
-from .steps import Crew, FaultyStore, SteppedStore, make_store, run
+from .steps import FaultyStore, Scheduler, SteppedStore, make_store, run
 
 DOWN = ["down"] * 6
 
@@ -53,8 +53,8 @@
 
 def fill(ledger, *attempts):
     for attempt in attempts:
-        verdict = ledger.add(bill=make_bill(attempt), into=ledger.incarnation)
-        assert verdict is AddResult.ADDED
+        result = ledger.add(bill=make_bill(attempt), into=ledger.incarnation)
+        assert result is AddResult.ADDED
 
 
 def recover(store, ledger, *attempts, holders):
@@ -101,13 +101,13 @@
 
 
 def test_bill_of_other_ledger_is_not_taken(first):
-    """A bill comes for a ledger that this entry had before it was restarted.
+    """A bill arrives for a ledger that this entry had before it was restarted.
 
-    Its agent names the old ledger to whoever recovers it, so that a copy
-    in the new one would be overlooked and the request billed twice.
+    Its agent names the old ledger to the entry that recovers the bill.  A copy in the
+    new ledger would be overlooked, and the request billed twice.
     """
-    verdict = first.add(bill=make_bill("a1"), into="earlier")
-    assert verdict is AddResult.OTHER_LEDGER
+    result = first.add(bill=make_bill("a1"), into="earlier")
+    assert result is AddResult.OTHER_LEDGER
     assert first.waiting == 0
 
 
@@ -123,10 +123,10 @@
     ],
 )
 def test_lost_answers_and_outages(store, first, faults):
-    """A flush meets a lost answer or an outage at the page or at the head.
+    """A flush meets a lost answer or an outage when it writes the page or the head.
 
-    Bills that come in meanwhile go on a page of their own: the page that
-    may stand already must not be overwritten nor left out.
+    Bills that arrive meanwhile go on another page.  The first page may already be
+    stored, and must neither be overwritten nor left out.
     """
     fill(first, "a1")
     store.faults.extend(faults)
@@ -143,9 +143,9 @@
 
 
 def test_sealed_while_paused(store, first, second):
-    """An entry is paused with a bill, and another entry recovers it.
+    """An entry is paused with an unflushed bill, and another entry recovers it.
 
-    When the first wakes and flushes, the request would be billed twice.
+    When the first entry resumes and flushes, the request must not be billed twice.
     """
     fill(first, "a1")
     run(first.flush())
@@ -159,7 +159,7 @@
 
 
 def test_sealed_before_first_flush(store, first, second):
-    """An entry is lost, or paused, before it ever wrote its ledger's head."""
+    """An entry is lost or paused before it first writes its ledger's head."""
     fill(first, "a1")
     recover(store, second, "a1", holders=("first",))
     assert run(first.flush()) == LedgerSealed(dropped=("a1",))
@@ -170,7 +170,7 @@
 def test_counted_then_sealed(store, first, second):
     """A flush takes effect, its answer is lost, and the ledger is sealed.
 
-    The entry must settle the bills rather than drop them as not billed.
+    The entry must settle the bills instead of dropping them as not billed.
     """
     fill(first, "a1")
     store.faults.extend(["ok", "lost", *DOWN])
@@ -194,26 +194,27 @@
 
 
 def test_sealed_by_another_after_a_flush(store, first):
-    """Two entries seal a ledger at once while its holder still flushes.
+    """Two entries seal a ledger concurrently while its holder still flushes.
 
-    The slower one must not go by the head it read before that flush.
+    The slower one must not use the head that it read before that flush.
     """
     stepped = SteppedStore(store.store)
     fill(first, "a1")
-    crew = Crew()
-    slow = crew.start(seal_ledger(store=stepped, incarnation="first"))
-    crew.step(0, None)
-    crew.step(0, None)
+    scheduler = Scheduler()
+    slow = scheduler.start(seal_ledger(store=stepped, incarnation="first"))
+    scheduler.step(0, None)
+    scheduler.step(0, None)
     run(first.flush())
     run(seal_ledger(store=store, incarnation="first"))
-    crew.finish()
+    scheduler.finish()
     assert slow.result.pages == 1
 
 
 def test_forgotten_attempts_are_read_again(store, monkeypatch):
-    """A bill is handed over long after it was flushed here.
+    """A bill is handed over long after this entry flushed it.
 
-    Memory for flushed attempts is bounded; what it lost is on the pages.
+    Only a limited number of flushed attempts is remembered; the others must be looked
+    up on the pages.
     """
     monkeypatch.setattr(ledger_module, "REMEMBERED_ATTEMPTS", 1)
     ledger = make_ledger(store, "first")
@@ -228,8 +229,8 @@
 def test_recovery_for_another_ledger_is_refused(store, second):
     """Bills are handed over to an entry that changed its ledger meanwhile.
 
-    The agent will name the old ledger to the next entry, which would not
-    look into the new one.
+    The agent would name the old ledger to the next entry, which then wouldn't search
+    the new one.
     """
     adopted = run(
         recover_bills(
@@ -270,13 +271,13 @@
 
 
 def test_backlog_is_bounded(first, monkeypatch):
-    """The store is down for long.
+    """The store is down for a long time.
 
-    The entry refuses new work, takes the bills of what is under way, and
-    leaves any further ones with their agents.
+    The entry refuses new work, accepts the bills of requests in flight, and leaves
+    further bills with their agents.
     """
     monkeypatch.setattr(ledger_module, "BACKLOG_BILLS", 2)
-    monkeypatch.setattr(ledger_module, "UNDER_WAY_BILLS", 1)
+    monkeypatch.setattr(ledger_module, "IN_FLIGHT_BILLS", 1)
     fill(first, "a1")
     assert not first.is_full
     fill(first, "a2", "a3")
@@ -285,7 +286,7 @@
 
 
 def test_pages_stay_below_the_limit(store, first):
-    """A backlog larger than an object may be is flushed in several pages."""
+    """A backlog larger than an object's size limit is flushed as several pages."""
     count = 4000
     for number in range(count):
         first.add(bill=make_bill(f"a{number}", request=f"{number:0400}"), into="first")
@@ -299,10 +300,10 @@
 
 
 def test_cascade_and_retry_are_one_bill(store, first):
-    """A request climbs a cascade, and a step runs twice after a lost frame.
+    """A request runs two steps of a cascade; a lost message makes one run twice.
 
-    Each step is billed for one attempt, and all under one request, also
-    when the attempts stand in different ledgers.
+    Each step is billed for one attempt, and all steps under one request, even if the
+    attempts are in different ledgers.
     """
     other = make_ledger(store, "other")
     rungs = [
@@ -319,7 +320,7 @@
 
 
 def test_totals_in_groups(store):
-    """There are more bills than an operator's machine can hold at once."""
+    """There are more bills than fit an operator's memory at once."""
     for number in range(4):
         ledger = make_ledger(store, f"ledger-{number}")
         fill(ledger, f"a{number}", f"b{number}")
@@ -333,15 +334,15 @@
 
 
 def test_aged_ledger_is_replaced(store):
-    """An entry with little work would keep one ledger until it is sealed."""
+    """An entry with little work must not use a ledger until it is sealed as idle."""
     ledgers = make_ledgers(store, itertools.count())
     old = ledgers.current
     run(ledgers.flush(now=0.0))
-    run(ledgers.flush(now=LONGEST_LEDGER_SECONDS + 1.0))
+    run(ledgers.flush(now=MAX_LEDGER_SECONDS + 1.0))
     assert ledgers.current is old
     fill(old, "a1")
-    run(ledgers.flush(now=LONGEST_LEDGER_SECONDS + 2.0))
-    run(ledgers.flush(now=2 * LONGEST_LEDGER_SECONDS + 3.0))
+    run(ledgers.flush(now=MAX_LEDGER_SECONDS + 2.0))
+    run(ledgers.flush(now=2 * MAX_LEDGER_SECONDS + 3.0))
     assert ledgers.current is not old
 
 
@@ -352,11 +353,11 @@
 
 
 def test_long_ledger_is_replaced(store, monkeypatch):
-    """A ledger grows by the day; who recovers it would read all its pages.
+    """A ledger grows so long that a recovery would have to read many pages.
 
-    Work begun under its name is still billed there.
+    Requests that were assigned the old ledger are still billed there.
     """
-    monkeypatch.setattr(ledger_module, "LONGEST_LEDGER_PAGES", 1)
+    monkeypatch.setattr(ledger_module, "MAX_LEDGER_PAGES", 1)
     ledgers = make_ledgers(store, itertools.count())
     old = ledgers.current
     fill(old, "a1")
@@ -370,7 +371,7 @@
     assert gone is AddResult.OTHER_LEDGER
 
 
-class Held(msgspec.Struct):
+class AgentBill(msgspec.Struct):
     """A bill that an agent keeps until it is settled."""
 
     bill: Bill
@@ -378,15 +379,15 @@
     settled: bool = False
 
 
-class Handing(msgspec.Struct):
-    """A bill on its way to an entry; with holders it is a recovery."""
+class Delivery(msgspec.Struct):
+    """A bill on its way to an entry; with `holders` it is to be recovered."""
 
     bill: Bill
     holders: tuple[str, ...]
 
 
 class Entry:
-    """An entry, restarted with a new ledger and no memory."""
+    """An entry, whose restart leaves it with a new ledger and no memory."""
 
     def __init__(self, store, numbers):
         self.store = store
@@ -401,7 +402,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Entries and agents that take each other for lost at any moment."""
+    """Entries and agents that may consider each other lost at any moment."""
 
     def __init__(self):
         super().__init__()
@@ -410,99 +411,99 @@
         self.attempts = itertools.count()
         store = SteppedStore(self.table)
         self.entries = [Entry(store, self.numbers) for _ in range(3)]
-        self.held = {}
-        self.crew = Crew()
+        self.kept = {}
+        self.scheduler = Scheduler()
 
     @rule(entry=st.integers(0, 2), count=st.integers(1, 3))
     def bill(self, entry, count):
-        """Let attempts end whose bills are on the way to their entry."""
+        """Let attempts end, and send their bills to an entry."""
         entry = self.entries[entry]
         for _ in range(count):
             bill = make_bill(
                 f"t{next(self.attempts)}", ledger=entry.ledgers.current.incarnation
             )
-            self.held[bill.attempt] = Held(bill)
-            entry.inbox.append(Handing(bill, ()))
+            self.kept[bill.attempt] = AgentBill(bill)
+            entry.inbox.append(Delivery(bill, ()))
 
     @rule(entry=st.integers(0, 2), number=st.integers(0, 5))
     def deliver(self, entry, number):
-        """Let one of the messages to an entry arrive, in any order."""
+        """Deliver one of the messages to an entry, in any order."""
         entry = self.entries[entry]
         if not entry.inbox:
             return
-        handing = entry.inbox.pop(number % len(entry.inbox))
-        if handing.holders:
-            self.start(entry, self.recover(entry, handing))
+        delivery = entry.inbox.pop(number % len(entry.inbox))
+        if delivery.holders:
+            self.start(entry, self.recover(entry, delivery))
             return
-        bill = handing.bill
+        bill = delivery.bill
         if entry.ledgers.add(bill=bill, into=bill.ledger) is AddResult.FLUSHED:
-            self.held[bill.attempt].settled = True
+            self.kept[bill.attempt].settled = True
 
     def start(self, entry, coroutine):
-        steps = self.crew.start(coroutine)
+        steps = self.scheduler.start(coroutine)
         entry.tasks.append(steps)
         return steps
 
-    async def recover(self, entry, handing):
-        ledger = entry.ledgers.find(handing.bill.ledger)
+    async def recover(self, entry, delivery):
+        ledger = entry.ledgers.find(delivery.bill.ledger)
         if ledger is None:
             return
         result = await recover_bills(
             store=entry.store,
             ledger=ledger,
-            into=handing.bill.ledger,
-            holders=handing.holders,
-            bills=[handing.bill],
+            into=delivery.bill.ledger,
+            holders=delivery.holders,
+            bills=[delivery.bill],
         )
         if isinstance(result, RecoveredBills):
             self.settle(result.billed)
 
     async def flush_entry(self, entry, *, is_lost=False):
-        """Flush, and tell the agents unless that is lost on its way."""
+        """Flush, and settle with the agents unless `is_lost`."""
         result = await entry.ledgers.flush(now=0.0)
         if not is_lost:
             self.settle(result.settled)
 
     def settle(self, attempts):
         for attempt in attempts:
-            self.held[attempt].settled = True
+            self.kept[attempt].settled = True
 
     @rule(entry=st.integers(0, 2), is_lost=st.booleans(), steps=st.integers(0, 8))
     def flush(self, entry, is_lost, steps):
-        """Let an entry flush and get some way."""
+        """Start a flush of an entry and run some of its steps."""
         entry = self.entries[entry]
         if entry.flushing and not entry.flushing.ended:
             return
         if entry.ledgers.waiting:
             entry.flushing = self.start(entry, self.flush_entry(entry, is_lost=is_lost))
-            self.crew.advance(entry.flushing, steps)
+            self.scheduler.advance(entry.flushing, steps)
 
     @rule(pick=st.integers(0, 30))
     def send_again(self, pick):
-        """Let an agent send a bill again that nobody settled."""
-        open_bills = [held for held in self.held.values() if not held.settled]
+        """Let an agent send an unsettled bill again."""
+        open_bills = [kept for kept in self.kept.values() if not kept.settled]
         if not open_bills:
             return
-        held = open_bills[pick % len(open_bills)]
+        kept = open_bills[pick % len(open_bills)]
         for entry in self.entries:
-            if entry.ledgers.find(held.bill.ledger):
-                entry.inbox.append(Handing(held.bill, held.holders))
+            if entry.ledgers.find(kept.bill.ledger):
+                entry.inbox.append(Delivery(kept.bill, kept.holders))
 
     @rule(entry=st.integers(0, 2), pick=st.integers(0, 30))
     def hand_over(self, entry, pick):
-        """Let an agent take a bill's entry for lost, rightly or not."""
+        """Let an agent consider a bill's entry lost, rightly or not."""
         entry = self.entries[entry]
-        open_bills = [held for held in self.held.values() if not held.settled]
+        open_bills = [kept for kept in self.kept.values() if not kept.settled]
         if open_bills:
-            self.hand(open_bills[pick % len(open_bills)], entry)
+            self.reassign(open_bills[pick % len(open_bills)], entry)
 
-    def hand(self, held, entry):
+    def reassign(self, kept, entry):
         into = entry.ledgers.current.incarnation
-        if into == held.bill.ledger:
+        if into == kept.bill.ledger:
             return
-        held.holders = (*held.holders, held.bill.ledger)
-        held.bill = msgspec.structs.replace(held.bill, ledger=into)
-        entry.inbox.append(Handing(held.bill, held.holders))
+        kept.holders = (*kept.holders, kept.bill.ledger)
+        kept.bill = msgspec.structs.replace(kept.bill, ledger=into)
+        entry.inbox.append(Delivery(kept.bill, kept.holders))
 
     @rule(
         number=st.integers(0, 5),
@@ -510,41 +511,41 @@
         fault=st.sampled_from((None, None, "down", "lost")),
     )
     def step(self, number, steps, fault):
-        self.crew.step(number, fault)
+        self.scheduler.step(number, fault)
         for _ in range(steps - 1):
-            self.crew.step(number, None)
+            self.scheduler.step(number, None)
 
-    @rule(entry=st.integers(0, 2), luck=st.integers(0, 3))
-    def restart_entry(self, entry, luck):
-        """Kill an entry; what is on its way there reaches the next one."""
-        if luck:
+    @rule(entry=st.integers(0, 2), draw=st.integers(0, 3))
+    def restart_entry(self, entry, draw):
+        """Kill and restart an entry, which then receives the messages in flight."""
+        if draw:
             return
         entry = self.entries[entry]
         for steps in entry.tasks:
             if not steps.ended:
                 steps.kill()
-                self.crew.running.remove(steps)
+                self.scheduler.running.remove(steps)
         entry.restart()
 
     def teardown(self):
-        """Let all messages arrive, recover what is left, then add up."""
+        """Deliver all messages, recover the remaining bills, then check the totals."""
         for entry in self.entries:
             while entry.inbox:
                 self.deliver(self.entries.index(entry), 0)
-        self.crew.finish()
-        heir = Entry(SteppedStore(self.table), self.numbers)
-        for held in self.held.values():
-            if not held.settled:
-                self.hand(held, heir)
-        for handing in heir.inbox:
-            run(self.recover(heir, handing))
-        for entry in [*self.entries, heir]:
+        self.scheduler.finish()
+        successor = Entry(SteppedStore(self.table), self.numbers)
+        for kept in self.kept.values():
+            if not kept.settled:
+                self.reassign(kept, successor)
+        for delivery in successor.inbox:
+            run(self.recover(successor, delivery))
+        for entry in [*self.entries, successor]:
             run(self.flush_entry(entry))
         bills = read_bills(self.table)
-        assert all(held.settled for held in self.held.values())
+        assert all(kept.settled for kept in self.kept.values())
         assert not bills.doubled
-        count = sum(one.attempts for one in bills.organisations)
-        assert count == len(self.held)
+        count = sum(totals.attempts for totals in bills.organisations)
+        assert count == len(self.kept)
 
 
 TestLedgerMachine = LedgerMachine.TestCase
--- a/test/store/test_pins.py
+++ b/test/store/test_pins.py
@@ -16,13 +16,13 @@
 from eelgrassrack.store.sweeping import PREFIX_DIGITS
 from eelgrassrack.store.tokens import BadToken, TokenRead, read_token, sign_token
 
-from .steps import Crew, FaultyStore, SteppedStore, run
+from .steps import FaultyStore, Scheduler, SteppedStore, run
 
 SECRET = b"s" * 32
 
 
 class Clock:
-    """A wall clock to set."""
+    """A wall clock that the test sets."""
 
     def __init__(self):
         self.now = 0.0
@@ -53,10 +53,10 @@
 
 
 def test_session_keeps_its_version_everywhere(store, clock):
-    """A second version rolls out while a session is under way.
+    """A second version rolls out while a session is active.
 
-    Its next request comes to an entry that never saw it and draws the new
-    version; the candidate's scores would change in the middle of an exam.
+    The session's next request reaches an entry that doesn't know it and picks the new
+    version.  A candidate's scores would then change in the middle of an exam.
     """
     first, second = make_pins(store, clock), make_pins(store, clock)
     assert run(pin(first, "assess/1")) == PinnedTo(version="assess/1")
@@ -67,20 +67,20 @@
 
 
 def test_two_entries_pin_at_once(store, clock):
-    """A session's first two requests reach two entries at the same moment."""
+    """A session's first two requests reach two entries at the same time."""
     stepped = SteppedStore(store.store)
-    crew = Crew()
-    one = crew.start(pin(make_pins(stepped, clock), "assess/1"))
-    two = crew.start(pin(make_pins(stepped, clock), "assess/2"))
+    scheduler = Scheduler()
+    first = scheduler.start(pin(make_pins(stepped, clock), "assess/1"))
+    second = scheduler.start(pin(make_pins(stepped, clock), "assess/2"))
     for number in (1, 0, 0, 0, 0, 0):
-        crew.step(number, None)
-    crew.finish()
-    assert one.result == two.result
+        scheduler.step(number, None)
+    scheduler.finish()
+    assert first.result == second.result
 
 
 @pytest.mark.parametrize("faults", [["lost"], ["lost", "down"]])
 def test_lost_answer_to_a_pin(store, clock, faults):
-    """The pin is made and its answer lost; a second draw must not replace it."""
+    """The pin is created but the answer lost; another choice must not replace it."""
     store.faults.extend(faults)
     run(pin(make_pins(store, clock), "assess/1"))
     store.faults.clear()
@@ -89,7 +89,7 @@
 
 
 def test_outage_pins_nothing(store, clock):
-    """The store is down: known sessions go on, a new one isn't guessed."""
+    """The store is down: cached sessions continue, a new one gets no version."""
     pins = make_pins(store, clock, capacity=1)
     run(pin(pins, "assess/1"))
     store.faults.extend(["down"] * 9)
@@ -116,8 +116,8 @@
         run(pin(pins, "assess/2"))
     assert clock.now > UNUSED_SECONDS
     swept = [run(pins.sweep(limit=10)) for _ in range(16**PREFIX_DIGITS)]
-    assert sum(one.looked_at for one in swept) == 2
-    assert sum(one.removed for one in swept) == 1
+    assert sum(sweep.looked_at for sweep in swept) == 2
+    assert sum(sweep.removed for sweep in swept) == 1
     anew = run(pin(make_pins(store, clock), "assess/2"))
     assert anew == PinnedTo(version="assess/1")
 
@@ -148,7 +148,7 @@
 
 
 def test_forged_tokens_are_bad():
-    """A caller changes a token to get a version that it wasn't given."""
+    """A caller modifies a token to get a version that it wasn't assigned."""
     data = bytearray(base64.urlsafe_b64decode(sign()))
     data[-1] ^= 1
     forged = base64.urlsafe_b64encode(bytes(data)).decode()
--- a/test/store/test_sweeper.py
+++ b/test/store/test_sweeper.py
@@ -1,8 +1,13 @@
-"""Tests that old records are removed, by one entry at a time."""
+"""Tests that expired records are removed, by one entry at a time."""
 
 from eelgrassrack.store.leases import Leases
 from eelgrassrack.store.objects import Unavailable
-from eelgrassrack.store.sweeper import LEASE_SECONDS, LIMIT, Sweeper, Waits
+from eelgrassrack.store.sweeper import (
+    LEASE_SECONDS,
+    RECORDS_PER_ROUND,
+    RetryLater,
+    Sweeper,
+)
 from eelgrassrack.store.sweeping import PREFIX_DIGITS, Cursor, Swept
 
 from .steps import FaultyStore, run
@@ -12,7 +17,7 @@
     """Records that count how often they are swept."""
 
     def __init__(self, result=None):
-        self.result = result or Swept(looked_at=LIMIT, removed=1)
+        self.result = result or Swept(looked_at=RECORDS_PER_ROUND, removed=1)
         self.rounds = 0
 
     async def sweep(self, *, limit):
@@ -38,15 +43,15 @@
 
 
 def test_one_entry_sweeps():
-    """The sweeping entry is lost, and another goes on; or it stops and says so."""
+    """Another entry continues after the sweeping one is lost or stops gracefully."""
     store, kind = FaultyStore(), Kind()
     first, second, third = (Entry(store, name, kind) for name in "abc")
-    assert first.sweep() == Swept(looked_at=LIMIT, removed=1)
-    assert second.sweep() == Waits(seconds=LEASE_SECONDS)
+    assert first.sweep() == Swept(looked_at=RECORDS_PER_ROUND, removed=1)
+    assert second.sweep() == RetryLater(seconds=LEASE_SECONDS)
     second.now += LEASE_SECONDS
     assert isinstance(second.sweep(), Swept)
     first.now += LEASE_SECONDS
-    assert first.sweep() == Waits(seconds=LEASE_SECONDS)
+    assert first.sweep() == RetryLater(seconds=LEASE_SECONDS)
     assert kind.rounds == 2
     run(second.sweeper.stop())
     assert isinstance(third.sweep(), Swept)
@@ -64,10 +69,10 @@
 def test_outage_is_waited_out():
     store = FaultyStore()
     entry = Entry(store, "a", Kind(Unavailable(reason="down", retry_after=7.0)))
-    assert entry.sweep() == Waits(seconds=7.0)
+    assert entry.sweep() == RetryLater(seconds=7.0)
     store.faults.extend(["down"])
     entry.now += LEASE_SECONDS
-    assert isinstance(entry.sweep(), Waits)
+    assert isinstance(entry.sweep(), RetryLater)
 
 
 def test_cursor_meets_each_name_once():
@@ -76,7 +81,7 @@
     for name in names:
         run(store.create(kind="k", name=name, body=b""))
     cursor = Cursor(store=store, kind="k")
-    met = [run(cursor.read_names(limit=3)) for _ in range(16**PREFIX_DIGITS + 2)]
-    assert max(map(len, met)) == 3
-    assert sorted(name for group in met for name in group) == sorted(names)
-    assert run(cursor.read_names(limit=3)) == met[0]
+    batches = [run(cursor.read_names(limit=3)) for _ in range(16**PREFIX_DIGITS + 2)]
+    assert max(map(len, batches)) == 3
+    assert sorted(name for batch in batches for name in batch) == sorted(names)
+    assert run(cursor.read_names(limit=3)) == batches[0]
