--- a/eelgrassrack/store/ledgers.py
+++ b/eelgrassrack/store/ledgers.py
@@ -28,9 +28,9 @@
 class FlushResult(msgspec.Struct, kw_only=True, frozen=True):
     """The result of flushing all ledgers.
 
-    The bills of `settled` attempts are stored.  Those of `dropped` attempts weren't
-    in a ledger that was sealed.  `unavailable` says why some bills aren't flushed
-    yet, if there are any.
+    The bills of `settled` attempts are stored.  Those of `dropped` attempts were
+    dropped because their ledger was sealed without them.  `unavailable` says why
+    some bills aren't flushed yet, if there are any.
     """
 
     settled: tuple[str, ...] = ()
--- a/test/platform/__init__.py
+++ b/test/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of how the platform speaks."""
+"""Tests of the platform's formats and of the client of its store."""
--- a/test/platform/test_formats.py
+++ b/test/platform/test_formats.py
@@ -108,7 +108,7 @@
     )
 )
 def test_any_header_can_be_read(fields):
-    """A caller sends headers that mean nothing; they stand for nothing."""
+    """A caller sends malformed header values, which are ignored."""
     arrival = headers.decode_arrival(
         method="GET", target="/", pairs=fields.items(), now=0.0
     )
--- a/test/store/__init__.py
+++ b/test/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what is kept in the platform's object API."""
+"""Tests of the records stored in the platform's object API."""
--- a/test/store/test_claims.py
+++ b/test/store/test_claims.py
@@ -77,7 +77,7 @@
     assert first != make_claim_name(organisation="a", operation="bc", key="d")
 
 
-def test_lost_answer_to_take(kit):
+def test_lost_answer_to_acquire(kit):
     """The store creates the claim, but its answer is lost.
 
     An entry that treated this as a failure would refuse the credential issue, and the
@@ -88,7 +88,7 @@
     assert isinstance(kit.acquire("a2"), ExistingClaim)
 
 
-def test_unclear_take_is_taken_over(kit):
+def test_unclear_acquire_is_taken_over(kit):
     """The claim is created, its answer is lost and the store goes down.
 
     The caller gets "not run", which is true as nothing was sent.  The resend asks the
@@ -283,7 +283,7 @@
         super().__init__()
         self.numbers = itertools.count()
         self.ran = []
-        self.told = []
+        self.reported = []
         self.not_run = []
         self.agents = [Agent(number, self.ran) for number in AGENTS]
         self.claims = Claims(
@@ -312,7 +312,7 @@
                     self.not_run.append(claim.attempt)
                     return None
                 case ExistingClaim(claim=held) if held.state is ClaimState.DONE:
-                    return self.tell(key, held.answer)
+                    return self.report(key, held.answer)
                 case ClaimAcquired(version=version):
                     answer = await self.dispatch(key, claim)
                 case ExistingClaim(claim=held, version=version):
@@ -320,12 +320,12 @@
                     agent = self.agents[int(held.endpoint)]
                     answer = agent.ask(held.attempt, held.agent)
                     await pause()
-            mine = claim if isinstance(state, ClaimAcquired) else held
+            known = claim if isinstance(state, ClaimAcquired) else held
             if answer is not None:
-                return await self.conclude(key, name, version, mine, answer)
+                return await self.conclude(key, name, version, known, answer)
             fresh = self.make(number)
             state = await self.claims.take_over(
-                name=name, held_version=version, old_claim=mine, claim=fresh
+                name=name, held_version=version, old_claim=known, claim=fresh
             )
             claim = fresh
         return None
@@ -350,11 +350,11 @@
         )
         result = await self.claims.finish(name=name, version=version, claim=claim)
         if isinstance(result, ExistingClaim) and result.claim.state is ClaimState.DONE:
-            return self.tell(key, result.claim.answer)
-        return self.tell(key, answer) if known else "unknown"
+            return self.report(key, result.claim.answer)
+        return self.report(key, answer) if known else "unknown"
 
-    def tell(self, key, answer):
-        self.told.append((key, answer))
+    def report(self, key, answer):
+        self.reported.append((key, answer))
         return answer
 
     @rule(
@@ -397,7 +397,7 @@
     @invariant()
     def answers_are_true(self):
         right = {key: f"{key} by {attempt}".encode() for key, attempt in self.ran}
-        assert all(right[key] == answer for key, answer in self.told)
+        assert all(right[key] == answer for key, answer in self.reported)
 
     @invariant()
     def not_run_is_true(self):
--- a/test/store/test_ledger.py
+++ b/test/store/test_ledger.py
@@ -440,9 +440,9 @@
             self.kept[bill.attempt].settled = True
 
     def start(self, entry, coroutine):
-        steps = self.scheduler.start(coroutine)
-        entry.tasks.append(steps)
-        return steps
+        task = self.scheduler.start(coroutine)
+        entry.tasks.append(task)
+        return task
 
     async def recover(self, entry, delivery):
         ledger = entry.ledgers.find(delivery.bill.ledger)
@@ -521,10 +521,10 @@
         if draw:
             return
         entry = self.entries[entry]
-        for steps in entry.tasks:
-            if not steps.ended:
-                steps.kill()
-                self.scheduler.running.remove(steps)
+        for task in entry.tasks:
+            if not task.ended:
+                task.kill()
+                self.scheduler.running.remove(task)
         entry.restart()
 
     def teardown(self):
--- a/test/store/test_sweeper.py
+++ b/test/store/test_sweeper.py
@@ -14,7 +14,7 @@
 
 
 class Kind:
-    """Records that count how often they are swept."""
+    """A kind of records that counts how often it is swept."""
 
     def __init__(self, result=None):
         self.result = result or Swept(looked_at=RECORDS_PER_ROUND, removed=1)
