--- a/eelgrassrack/platform/manifest.py
+++ b/eelgrassrack/platform/manifest.py
@@ -69,8 +69,8 @@
 class WireService(msgspec.Struct, frozen=True, rename="camel"):
     """A service and how to reach its endpoints.
 
-    A cold endpoint takes `cold_s` seconds to warm up and serves `cold_per_s`
-    requests a second until then.
+    `cold_per_s` is how many requests a second a cold endpoint can serve; `cold_s` is
+    in seconds.
     """
 
     name: str
