--- a/eelgrassrack/platform/store.py
+++ b/eelgrassrack/platform/store.py
@@ -34,7 +34,7 @@
 OBJECTS_PATH = "/objects"
 
 # Query parameters: the revision to watch from, how many milliseconds to wait for a
-# change, and whether a lagging replica may answer.
+# change, and whether the list may be outdated.
 WATCH_QUERY = "watch"
 WAIT_QUERY = "waitMs"
 STALE_QUERY = "staleOk"
@@ -113,7 +113,7 @@
         """Return all objects of a kind.
 
         A page fails after `timeout` seconds in which none of its bytes arrive.  With
-        `allow_stale` a lagging replica may answer.
+        `allow_stale` the store may return an outdated list.
         """
         objects: dict[str, object] = {}
         newest = 0
--- a/eelgrassrack/store/revisions.py
+++ b/eelgrassrack/store/revisions.py
@@ -6,7 +6,7 @@
 class RevisionGuard:
     """Accept only revisions above all that were accepted before.
 
-    A paused peer, a late answer or a lagging replica of the store may offer an older
+    A paused peer, a late answer or a lagging reader of the store may offer an older
     document at any time.  Putting that in force would send work to a version that has
     been withdrawn since.
     """
