--- a/test/promises/test_assertions.py
+++ b/test/promises/test_assertions.py
@@ -49,7 +49,7 @@
 
 
 def start_more_than_the_window(world, monkeypatch):
-    monkeypatch.setattr(Window, "room", lambda window, *, running: 9)
+    monkeypatch.setattr(Window, "count_free", lambda window, *, running: 9)
     monkeypatch.setattr(Runner, "_find_last_refusal", lambda runner, attempt: None)
     world.start(plans=[TUTOR_EAST])
     for number in range(6):
