--- a/eelgrassrack/entry/__init__.py
+++ b/eelgrassrack/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry daemon: from callers to agents."""
+"""The entry daemon: accepts HTTP requests and dispatches them to agents."""
--- a/eelgrassrack/entry/admission.py
+++ b/eelgrassrack/entry/admission.py
@@ -1,8 +1,8 @@
-"""Admission at the entry: the one place that lets a request in.
+"""Admission control for all requests to an entry.
 
-The entry keeps no queue of its own.  Work waits at the agents, where
-turns are fair between the organisations of all entries; a second queue
-here would hide from callers how long they wait.
+The entry has no queue.  Requests wait at the agents, whose fair queueing
+covers the organisations of all entries; a second queue at the entry would
+make waiting times invisible to callers.
 """
 
 import collections
@@ -23,17 +23,18 @@
 from ..decisions.waiting import count_ahead, is_patient
 from ..document.sections import Organisation
 from ..document.snapshot import Snapshot
-from .directory import Absence, Directory
+from .directory import Directory, NoEndpointReason
 from .refusals import CallerError, refuse_overload, refuse_unavailable
 
-# Seconds taken for a backlog whose drain rate nobody has measured yet.
+# Assumed duration of a backlog with an unknown drain rate.
 UNKNOWN_SECONDS = 0.0
 
 
-class Door:
-    """Admit requests by their organisation's limits and the backlog.
+class AdmissionControl:
+    """Admits requests by their organisation's limits and the backlog.
 
-    `ends_at` is when this entry ends, once it was told to stop.
+    `ends_at` is when this entry exits, in the time of the event loop; it is
+    infinite until the entry is told to stop.
     """
 
     __slots__ = ("_admission", "_clock", "_directory", "_rng", "ends_at")
@@ -51,9 +52,12 @@
         self._clock = clock
         self.ends_at = math.inf
 
-    def find_deadline(self, *, within: float) -> float:
-        """Return when a request that comes now has its answer at the latest."""
-        return min(self._clock() + within, self.ends_at)
+    def find_deadline(self, *, remaining: float) -> float:
+        """Return the deadline of a request that arrives now.
+
+        `remaining` is the seconds that its caller waits.
+        """
+        return min(self._clock() + remaining, self.ends_at)
 
     def admit(
         self,
@@ -61,18 +65,18 @@
         organisation: Organisation,
         snapshot: Snapshot,
         tokens: int,
-        within: float,
+        remaining: float,
         versions: list[tuple[str, ...]],
         service: str = "",
         repeatable: bool = True,
     ) -> CallerError | DrainAction:
-        """Let a request in, to be released later, or say why not.
+        """Admit a request, which must be released later, or refuse it.
 
-        `versions` holds the versions of each step it may begin with.
+        `versions` holds the versions of each step that may come first.
         """
         now = self._clock()
-        limit, within = within, min(within, self.ends_at - now)
-        patient = is_patient(tokens=tokens, within=within)
+        limit, remaining = remaining, min(remaining, self.ends_at - now)
+        patient = is_patient(tokens=tokens, within=remaining)
         backlogs = [
             self._sum_backlog(organisation, snapshot, names, service, patient)
             for names in versions
@@ -82,16 +86,16 @@
             organisation=organisation.name,
             priority=organisation.priority,
             tokens=tokens,
-            within=within,
+            within=remaining,
             usual=snapshot.limits.default_deadline,
         )
-        terms = choose_drain_action(
+        action = choose_drain_action(
             remaining=self.ends_at - now,
             limit=limit,
             expected=_expect(arrival, organisation, backlog),
             is_repeatable=repeatable,
         )
-        if terms is DrainAction.REFUSE:
+        if action is DrainAction.REFUSE:
             return refuse_unavailable(reason="draining")
         verdict = self._admission.judge(
             arrival=arrival,
@@ -102,12 +106,12 @@
         )
         match verdict:
             case Admitted():
-                return terms
+                return action
             case Refused(reason=reason, retry_after=retry_after):
                 return refuse_overload(reason=reason.value, retry_after=retry_after)
 
     def release(self, *, organisation: Organisation) -> None:
-        """Count the end of a request that was let in."""
+        """Release an admitted request that has ended."""
         self._admission.release(organisation=organisation.name)
 
     def _sum_backlog(
@@ -125,27 +129,31 @@
             )
             for version in versions
         ]
-        lists = (each for each in found if not isinstance(each, Absence))
-        loads = {known.name: known.load for each in lists for known in each}
-        # Turns are fair by organisation: one with little waiting is not
-        # held up by the backlog of another, and must not be refused for it.
-        own: collections.Counter[str] = collections.Counter()
-        long: collections.Counter[str] = collections.Counter()
+        serving = (each for each in found if not isinstance(each, NoEndpointReason))
+        loads = {endpoint.name: endpoint.load for each in serving for endpoint in each}
+        # Queueing is fair by organisation: the backlog of one doesn't delay
+        # another, which must not be refused because of it.
+        queued_tokens: collections.Counter[str] = collections.Counter()
+        patient_tokens: collections.Counter[str] = collections.Counter()
         for load in loads.values():
-            own.update(load.queued_by)
-            long.update(load.patient_by)
+            queued_tokens.update(load.queued_by)
+            patient_tokens.update(load.patient_by)
         name = organisation.name
-        alike = long[name] if patient else own[name] - long[name]
+        alike = (
+            patient_tokens[name]
+            if patient
+            else queued_tokens[name] - patient_tokens[name]
+        )
         return Backlog(
             tokens=sum(load.queued_tokens for load in loads.values()),
             drain=sum(load.drain for load in loads.values()),
-            own=count_ahead(own=own[name], alike=alike),
-            weights=_sum_weights(snapshot, {*own, name}),
+            own=count_ahead(own=queued_tokens[name], alike=alike),
+            weights=_sum_weights(snapshot, {*queued_tokens, name}),
         )
 
 
 def _expect(arrival: Arrival, organisation: Organisation, backlog: Backlog) -> float:
-    """Return the seconds that a request is expected to take."""
+    """Return the expected time to the complete answer, in seconds."""
     wait = estimate_wait(arrival=arrival, weight=organisation.weight, backlog=backlog)
     return wait + arrival.tokens * SECONDS_PER_TOKEN
 
--- a/eelgrassrack/entry/answers.py
+++ b/eelgrassrack/entry/answers.py
@@ -1,9 +1,8 @@
-"""Answers on their way to a caller.
+"""Response bodies: streamed chats, plain bodies and errors.
 
-A `Responder` is the caller's side of one request.  Streamed answers have
-the shape of the usual language model API: server-sent events, ending in
-`[DONE]`.  An answer that breaks off gets an error event instead, so that
-a client can't take what it has for the whole.
+Streamed chats follow the OpenAI-compatible API: server-sent events that end
+with `[DONE]`.  An incomplete answer ends with an error event instead, so that
+the client doesn't take it for complete.
 """
 
 import time
@@ -23,7 +22,7 @@
 
 
 class Labels(msgspec.Struct, kw_only=True, frozen=True):
-    """What every response says of its request."""
+    """Request metadata that every response carries in its headers."""
 
     request: str
     model: str = ""
@@ -32,7 +31,7 @@
     session_token: str = ""
 
     def build_headers(self, *, run: headers.Run) -> list[tuple[str, str]]:
-        """Return the response headers."""
+        """Return the response headers, without the empty ones."""
         pairs = [
             (headers.REQUEST, self.request),
             (headers.RUN, run.value),
@@ -45,13 +44,17 @@
 
 
 class Responder(Protocol):
-    """The caller's side of one request; `error` is what it was told, if any."""
+    """Writes the response to one request.
+
+    `error` is the error that was sent to the caller, if any.  `has_begun` is
+    true once the status line has been sent.
+    """
 
     error: CallerError | None
     has_begun: bool
 
-    def keep_back(self) -> None:
-        """Give the caller nothing until the answer is whole."""
+    def buffer_until_complete(self) -> None:
+        """Buffer the response and send it only once it is complete."""
 
     def begin(self, *, status: int, fields: list[tuple[str, str]]) -> None:
         """Send the status and the headers."""
@@ -63,11 +66,11 @@
         """End the body."""
 
     def abort(self) -> None:
-        """Cut the connection, so that the body can't look whole."""
+        """Close the connection so that the body is seen to be truncated."""
 
 
 class Usage(msgspec.Struct, kw_only=True, frozen=True):
-    """Token counts in the shape of the usual language model API."""
+    """Token counts in the format of the OpenAI-compatible API."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -75,7 +78,7 @@
 
 
 class Chunk(msgspec.Struct, kw_only=True, frozen=True):
-    """One event of a streamed chat."""
+    """One server-sent event of a streamed chat."""
 
     id: str
     object: str = "chat.completion.chunk"
@@ -86,36 +89,36 @@
 
 
 class ChatStream:
-    """Write a streamed chat to a caller, piece by piece.
+    """Writes a streamed chat to a caller, one event per piece.
 
-    The text around each piece is encoded once for the whole stream; only
-    the piece itself changes from token to token.
+    The JSON before each piece is encoded once per stream, because only the
+    piece itself changes from event to event.
     """
 
-    __slots__ = ("_head", "_labels", "_responder")
+    __slots__ = ("_prefix", "_labels", "_responder")
 
     def __init__(self, *, responder: Responder, labels: Labels) -> None:
         self._responder = responder
         self._labels = labels
-        self._head = b""
+        self._prefix = b""
 
     def write_piece(self, piece: bytes) -> None:
-        """Send one piece: the JSON text of a chunk's choices."""
-        if not self._head:
+        """Send one piece: the JSON text of the `choices` of a chunk."""
+        if not self._prefix:
             self._begin()
-        self._responder.write(self._head + piece + b"}\n\n")
+        self._responder.write(self._prefix + piece + b"}\n\n")
 
     def finish(self, *, bill: Bill | None, wants_usage: bool) -> None:
-        """End the stream as a whole answer."""
-        if not self._head:
+        """End a complete answer, with the token counts if `wants_usage`."""
+        if not self._prefix:
             self._begin()
         if wants_usage and bill is not None:
             self._responder.write(self._build_usage(bill))
         self._responder.write(STREAM_END)
         self._responder.finish()
 
-    def break_off(self, error: CallerError) -> None:
-        """End the stream as an answer that isn't whole."""
+    def abort(self, error: CallerError) -> None:
+        """Send an error event and end the incomplete answer."""
         self._responder.error = error
         self._responder.write(EVENT_START + encode_error(error) + EVENT_END)
         self._responder.abort()
@@ -131,7 +134,7 @@
             choices=[],
         )
         text = msgspec.json.encode(chunk)
-        self._head = EVENT_START + text[: text.index(b"[]")]
+        self._prefix = EVENT_START + text[: text.index(b"[]")]
 
     def _build_usage(self, bill: Bill) -> bytes:
         chunk = Chunk(
@@ -147,7 +150,11 @@
 def write_chat_body(
     *, responder: Responder, labels: Labels, body: bytes
 ) -> CallerError | None:
-    """Send a chat that isn't streamed; the engine's id becomes the request's."""
+    """Send a chat that isn't streamed.
+
+    Replaces the engine's `id` and `model` by the request's id and the version.
+    Returns an error, and sends nothing, if the body isn't valid JSON.
+    """
     try:
         fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except msgspec.DecodeError:
@@ -178,7 +185,7 @@
     fields: list[tuple[str, str]],
     body: bytes,
 ) -> None:
-    """Send a whole body of known length."""
+    """Send a complete body with its `Content-Length`."""
     fields = [*fields, ("Content-Length", str(len(body)))]
     responder.begin(status=status, fields=fields)
     if body:
@@ -187,7 +194,7 @@
 
 
 def write_error(*, responder: Responder, labels: Labels, error: CallerError) -> None:
-    """Send an error, or cut a body that has begun."""
+    """Send an error, or close the connection if a body has begun."""
     responder.error = error
     if responder.has_begun:
         responder.abort()
--- a/eelgrassrack/entry/application.py
+++ b/eelgrassrack/entry/application.py
@@ -1,4 +1,4 @@
-"""The HTTP application of an entry: its paths and its own answers."""
+"""The HTTP routes of an entry, and the handlers that need no endpoint."""
 
 import msgspec
 from tornado import web
@@ -15,13 +15,13 @@
     """`GET /v1/models`."""
 
     def get(self) -> None:
-        """List what the caller's organisation may ask for."""
-        entered = self._enter()
-        if isinstance(entered, CallerError):
-            self._send_error(entered)
+        """List the names that the caller's organisation may request."""
+        caller = self._identify_caller()
+        if isinstance(caller, CallerError):
+            self._send_error(caller)
             return
         names = list_names(
-            snapshot=self.core.snapshot, organisation=entered.organisation
+            snapshot=self.core.snapshot, organisation=caller.organisation
         )
         body = ModelList(data=[ModelEntry(id=name) for name in names])
         self._send_json(msgspec.json.encode(body))
@@ -36,7 +36,7 @@
 
 
 class ModelEntry(msgspec.Struct, kw_only=True, frozen=True):
-    """One name in the list of models."""
+    """One model, alias, version or cascade in the list of models."""
 
     id: str
     object: str = "model"
@@ -45,7 +45,7 @@
 
 
 class ModelList(msgspec.Struct, kw_only=True, frozen=True):
-    """The list of models in the shape of the usual language model API."""
+    """The list of models in the format of the OpenAI-compatible API."""
 
     object: str = "list"
     data: list[ModelEntry]
@@ -59,27 +59,27 @@
         self.core = core
 
     def get(self) -> None:
-        """Report what this entry knows."""
+        """Send the status of this entry as JSON."""
         self.set_header("Content-Type", JSON)
         self.finish(msgspec.json.encode(self.core.describe()))
 
 
 class ReadyHandler(web.RequestHandler):
-    """`GET /ready`, for the platform's balancer."""
+    """`GET /ready`, the readiness check of the platform's load balancer."""
 
     def initialize(self, *, core: Core) -> None:
         """Take the entry's core."""
         self.core = core
 
     def get(self) -> None:
-        """Say whether new requests should come here."""
-        closed = self.core.find_closed(for_balancer=True)
-        self.set_status(200 if closed is None else closed.status)
-        self.finish("ready\n" if closed is None else f"{closed.code}\n")
+        """Answer 200 if this entry should receive new requests."""
+        refusal = self.core.find_refusal(for_balancer=True)
+        self.set_status(200 if refusal is None else refusal.status)
+        self.finish("ready\n" if refusal is None else f"{refusal.code}\n")
 
 
 def build_application(*, core: Core) -> web.Application:
-    """Return the application for callers and operators."""
+    """Return the Tornado application for callers and operators."""
     given = {"core": core}
     return web.Application(
         [
@@ -96,9 +96,9 @@
 
 
 class MissingHandler(CallerHandler):
-    """Any other path."""
+    """Any path without a handler."""
 
     def prepare(self) -> None:
-        """Refuse with an error body like all others."""
+        """Send a 404 with the usual error body."""
         text = f"There is nothing at {self.request.path}."
         self._refuse(CallerError(status=404, code="not_found", text=text))
--- a/eelgrassrack/entry/arrivals.py
+++ b/eelgrassrack/entry/arrivals.py
@@ -1,7 +1,7 @@
-"""Requests of callers, read and checked.
+"""Parsing and validation of callers' requests.
 
-Reading a request needs no network.  What can't be read becomes a
-`CallerError` with the status that the usual language model API gives.
+Parsing does no I/O.  An invalid request becomes a `CallerError` with the
+status code that the OpenAI-compatible API uses.
 """
 
 import hashlib
@@ -15,23 +15,23 @@
 from . import headers
 from .refusals import CallerError
 
-# Tokens taken for an answer whose caller names no bound.
+# Assumed length of an answer if the caller sets no max_tokens.
 DEFAULT_ANSWER_TOKENS = 256
-MOST_ANSWER_TOKENS = 131_072
-BYTES_A_TOKEN = 4
+MAX_ANSWER_TOKENS = 131_072
+BYTES_PER_TOKEN = 4
 BEARER = "Bearer "
-LONGEST_HEADER_VALUE = 512
+MAX_HEADER_CHARACTERS = 512
 
 
 class ChatMessage(msgspec.Struct, frozen=True):
-    """One message of a conversation; content may be text or parts."""
+    """One message of a conversation; `content` is text or a list of parts."""
 
     role: str
     content: str | list[dict] | None = None
 
 
 class ChatFields(msgspec.Struct, frozen=True):
-    """The fields of a chat body that the router reads."""
+    """The fields of a chat request that the router uses."""
 
     model: str
     messages: list[ChatMessage]
@@ -41,13 +41,14 @@
     stream_options: dict | None = None
 
 
-class Terms(msgspec.Struct, kw_only=True, frozen=True):
-    """What a request's headers ask for.
+class RequestOptions(msgspec.Struct, kw_only=True, frozen=True):
+    """The options that a request's headers set.
 
-    `within` is the seconds until the caller's deadline.
+    `remaining` is the seconds until the caller's deadline.  A request with
+    `never_repeat` runs at most once.
     """
 
-    within: float
+    remaining: float
     session: str = ""
     session_token: str = ""
     idempotency_key: str = ""
@@ -56,9 +57,12 @@
 
 
 class ChatArrival(msgspec.Struct, kw_only=True, frozen=True):
-    """A chat request that can be read."""
+    """A valid chat request.
 
-    terms: Terms
+    `tokens` estimates prompt and answer together, `fields` holds the whole body.
+    """
+
+    options: RequestOptions
     model: str
     stream: bool
     tokens: int
@@ -68,7 +72,7 @@
     fields: dict[str, msgspec.Raw]
 
     def build_body(self, *, version: str) -> bytes:
-        """Return the body for the engine, with the version as its model."""
+        """Return the body for the engine, with `version` as its model."""
         changed = {"model": version, "stream": self.stream}
         if self.stream:
             changed["stream_options"] = {"include_usage": True}
@@ -76,56 +80,59 @@
 
 
 class ServiceArrival(msgspec.Struct, kw_only=True, frozen=True):
-    """A request for a plain service that can be read."""
+    """A valid request for a plain service.
 
-    terms: Terms
+    A request that isn't `repeatable` runs at most once.
+    """
+
+    options: RequestOptions
     service: str
     method: str
     path: str
-    passed_headers: tuple[tuple[str, str], ...]
+    forwarded_headers: tuple[tuple[str, str], ...]
     body: bytes
     fingerprint: str
     repeatable: bool
 
     @property
     def tokens(self) -> int:
-        """Return the request's size in tokens, for fair turns."""
-        return 1 + len(self.body) // BYTES_A_TOKEN
+        """Return the request's size in tokens, for fair queueing."""
+        return 1 + len(self.body) // BYTES_PER_TOKEN
 
 
 def authenticate_caller(
     *, snapshot: Snapshot, authorization: str | None
 ) -> Organisation | CallerError:
-    """Return the organisation whose key the header holds."""
+    """Return the organisation whose API key is in the header."""
     if not authorization or not authorization.startswith(BEARER):
         return CallerError(status=401, code="no_key", text="An API key is missing.")
     key = authorization.removeprefix(BEARER).strip()
     digest = hashlib.sha256(key.encode()).hexdigest()
-    found = snapshot.find_organisation(key_digest=digest)
-    if found is None:
+    organisation = snapshot.find_organisation(key_digest=digest)
+    if organisation is None:
         return CallerError(status=401, code="wrong_key", text="The API key is wrong.")
-    return found
+    return organisation
 
 
-def read_terms(
+def read_options(
     *, sent: Mapping[str, str], limits: Limits, kind: str
-) -> Terms | CallerError:
-    """Read the router's own headers."""
+) -> RequestOptions | CallerError:
+    """Parse the headers that set request options."""
     names = (headers.SESSION, headers.KIND, headers.IDEMPOTENCY_KEY)
-    long = [n for n in names if len(sent.get(n, "")) > LONGEST_HEADER_VALUE]
+    long = [n for n in names if len(sent.get(n, "")) > MAX_HEADER_CHARACTERS]
     if long:
         return CallerError(
             status=431, code="header_too_long", text=f"{long[0]} is too long."
         )
-    within = _read_seconds(sent.get(headers.DEADLINE), limits.default_deadline)
-    if within is None:
+    remaining = _read_seconds(sent.get(headers.DEADLINE), limits.default_deadline)
+    if remaining is None:
         return _refuse_body(f"{headers.DEADLINE} must be a number of seconds.")
-    if within <= 0:
+    if remaining <= 0:
         return CallerError(
             status=408, code="deadline_passed", text="The deadline has passed."
         )
-    return Terms(
-        within=min(within, limits.longest_deadline),
+    return RequestOptions(
+        remaining=min(remaining, limits.longest_deadline),
         session=sent.get(headers.SESSION, ""),
         session_token=sent.get(headers.SESSION_TOKEN, ""),
         idempotency_key=sent.get(headers.IDEMPOTENCY_KEY, ""),
@@ -135,9 +142,9 @@
 
 
 def read_chat(
-    *, body: bytes, terms: Terms, organisation: Organisation
+    *, body: bytes, options: RequestOptions, organisation: Organisation
 ) -> ChatArrival | CallerError:
-    """Read a chat request's body."""
+    """Parse the body of a chat request."""
     try:
         chat = msgspec.json.decode(body, type=ChatFields)
         fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
@@ -145,21 +152,23 @@
         return _refuse_body(f"The body can't be read: {error}.")
     if not chat.messages:
         return _refuse_body("The body has no messages.")
-    if terms.never_repeat:
-        # Only services keep claims.  To run it without one could run it
-        # twice when its caller sends it again.
+    if options.never_repeat:
+        # Only services have idempotency claims.  Without one, a chat that the
+        # caller sends again could run twice.
         return _refuse_body(f"A chat can't be marked {headers.REPEAT}.")
-    asked = chat.max_completion_tokens or chat.max_tokens or DEFAULT_ANSWER_TOKENS
-    if not 0 < asked <= MOST_ANSWER_TOKENS:
+    answer_tokens = (
+        chat.max_completion_tokens or chat.max_tokens or DEFAULT_ANSWER_TOKENS
+    )
+    if not 0 < answer_tokens <= MAX_ANSWER_TOKENS:
         return _refuse_body("max_tokens is out of range.")
     wants_usage = bool((chat.stream_options or {}).get("include_usage"))
     return ChatArrival(
-        terms=terms,
+        options=options,
         model=chat.model,
         stream=chat.stream,
-        tokens=asked + len(body) // BYTES_A_TOKEN,
+        tokens=answer_tokens + len(body) // BYTES_PER_TOKEN,
         prompt=_join_prompt(chat.messages),
-        fingerprint=_take_fingerprint(organisation.name, bytes(fields["messages"])),
+        fingerprint=_compute_fingerprint(organisation.name, bytes(fields["messages"])),
         wants_usage=wants_usage,
         fields=fields,
     )
@@ -172,24 +181,24 @@
     path: str,
     sent: Mapping[str, str],
     body: bytes,
-    terms: Terms,
+    options: RequestOptions,
     organisation: Organisation,
 ) -> ServiceArrival:
-    """Read a request for a plain service."""
+    """Build a service request from the parts of an HTTP request."""
     operation = f"{method} {path}"
     marked = any(operation.startswith(text) for text in service.not_repeatable)
-    passed = tuple(
-        (name, value) for name, value in sent.items() if headers.is_passed_on(name)
+    forwarded = tuple(
+        (name, value) for name, value in sent.items() if headers.is_forwarded(name)
     )
     return ServiceArrival(
-        terms=terms,
+        options=options,
         service=service.name,
         method=method,
         path=path,
-        passed_headers=passed,
+        forwarded_headers=forwarded,
         body=body,
-        fingerprint=_take_fingerprint(organisation.name, operation.encode() + body),
-        repeatable=not (marked or terms.never_repeat),
+        fingerprint=_compute_fingerprint(organisation.name, operation.encode() + body),
+        repeatable=not (marked or options.never_repeat),
     )
 
 
@@ -208,7 +217,7 @@
     return "\n".join(text for text in texts if isinstance(text, str))
 
 
-def _take_fingerprint(organisation: str, content: bytes) -> str:
+def _compute_fingerprint(organisation: str, content: bytes) -> str:
     return xxhash.xxh3_128_hexdigest(organisation.encode() + b"\0" + content)
 
 
--- a/eelgrassrack/entry/billing.py
+++ b/eelgrassrack/entry/billing.py
@@ -1,7 +1,7 @@
-"""Bills on their way from agents into the ledger.
+"""Collects bills from agents and writes them to the ledger.
 
-Agents make the bills and keep each until it is settled.  The entry only
-gathers them: what it loses when it dies, the agents hand to another.
+Agents create the bills and keep each one until it is settled.  If an entry
+crashes, the agents hand its unsettled bills to another entry for recovery.
 """
 
 import collections
@@ -24,15 +24,15 @@
 Post = Callable[[str, object], None]
 Price = Callable[[Bill], int]
 
-# One settle message holds this many attempts at most.
-ATTEMPTS_A_MESSAGE = 500
+ATTEMPTS_PER_MESSAGE = 500
 
-# Recoveries that wait for their turn; agents hand theirs over again.
-MOST_RECOVERIES = 64
+# Queued recoveries.  When the queue is full the oldest is dropped, and its agent
+# sends it again.
+MAX_RECOVERIES = 64
 
 
 class Billing:
-    """Gather bills, flush them and tell the agents what is settled."""
+    """Collects bills, flushes them and tells the agents which are settled."""
 
     __slots__ = (
         "_agents",
@@ -61,7 +61,7 @@
         self._post = post
         self._agents: dict[str, str] = {}
         self._recoveries: collections.deque[tuple[str, Custody]] = collections.deque(
-            maxlen=MOST_RECOVERIES
+            maxlen=MAX_RECOVERIES
         )
         self._numbers = itertools.count(1)
 
@@ -77,35 +77,39 @@
 
     @property
     def current(self) -> str:
-        """Return the name of the ledger that new work is given."""
+        """Return the name of the ledger for new requests."""
         return self.ledgers.current.incarnation
 
     @property
     def is_full(self) -> bool:
-        """Tell whether new work must be refused until bills are flushed."""
+        """Whether new requests must be refused until bills are flushed."""
         return self.ledgers.is_full
 
     @property
     def waiting(self) -> int:
-        """Return how many bills aren't in the ledger yet."""
+        """Return how many bills haven't been written to the ledger yet."""
         return self.ledgers.waiting
 
     def take(self, *, bill: Bill, address: str) -> None:
-        """Take a bill from the agent at `address`."""
+        """Add a bill from the agent at `address` to its ledger."""
         match self.ledgers.add(bill=bill, into=bill.ledger):
             case AddResult.ADDED | AddResult.WAITING:
                 self._agents[bill.attempt] = address
             case AddResult.FLUSHED:
                 self._post(address, Settle(attempts=(bill.attempt,)))
             case AddResult.FULL | AddResult.SEALED | AddResult.OTHER_LEDGER as adding:
-                log.debug("billing: {} left to its agent: {}", bill.attempt, adding)
+                log.debug(
+                    "billing: {} not accepted, its agent keeps it: {}",
+                    bill.attempt,
+                    adding,
+                )
 
     def take_custody(self, *, custody: Custody, address: str) -> None:
-        """Queue the bills of a lost entry for recovery."""
+        """Queue the bills of a crashed entry for recovery."""
         self._recoveries.append((address, custody))
 
     async def flush(self, *, now: float) -> None:
-        """Recover what was handed over, then write and settle what waits."""
+        """Recover queued bills, then write the waiting ones and settle them."""
         while self._recoveries:
             address, custody = self._recoveries.popleft()
             await self._recover(address, custody)
@@ -115,13 +119,13 @@
         for attempt in flushed.dropped:
             self._agents.pop(attempt, None)
         if flushed.unavailable is not None:
-            log.info("billing: flush waits: {}", flushed.unavailable.reason)
+            log.info("billing: flush postponed: {}", flushed.unavailable.reason)
 
     async def _recover(self, address: str, custody: Custody) -> None:
         ledger = self.ledgers.find(custody.into)
         if ledger is None:
-            # The agent heard of another incarnation's ledger; it will name
-            # the current one once it has heard this entry's heartbeat.
+            # The agent names the ledger of another incarnation.  It names the
+            # current one once it has received a heartbeat of this entry.
             return
         result = await recover_bills(
             store=self._store,
@@ -133,7 +137,7 @@
         )
         match result:
             case Unavailable(reason=reason):
-                log.info("billing: recovery waits: {}", reason)
+                log.info("billing: recovery postponed: {}", reason)
             case RecoveredBills(billed=billed, added=added):
                 self._agents.update(dict.fromkeys(added, address))
                 if billed:
@@ -146,6 +150,6 @@
             if address is not None:
                 by_agent[address].append(attempt)
         for address, settled in by_agent.items():
-            for start in range(0, len(settled), ATTEMPTS_A_MESSAGE):
-                part = tuple(settled[start : start + ATTEMPTS_A_MESSAGE])
+            for start in range(0, len(settled), ATTEMPTS_PER_MESSAGE):
+                part = tuple(settled[start : start + ATTEMPTS_PER_MESSAGE])
                 self._post(address, Settle(attempts=part))
--- a/eelgrassrack/entry/callerhandler.py
+++ b/eelgrassrack/entry/callerhandler.py
@@ -1,4 +1,8 @@
-"""What all handlers for callers share: who calls, on which terms, and its end."""
+"""Base class of the HTTP handlers for callers.
+
+It authenticates the caller, limits the sizes of headers and body, counts the
+request and stops its work when the caller disconnects.
+"""
 
 import asyncio
 import math
@@ -11,7 +15,7 @@
 
 from ..document.sections import Organisation
 from .answers import Labels, write_error
-from .arrivals import Terms, authenticate_caller, read_terms
+from .arrivals import RequestOptions, authenticate_caller, read_options
 from .core import Core
 from .headers import Run
 from .refusals import STOPPING, CallerError, refuse_unavailable, report_unknown
@@ -19,31 +23,31 @@
 
 log = logbook.Logger("callers")
 
-# The sum of a request's header names and values.
-MOST_HEADER_BYTES = 16_384
+# Limit on the sum of the lengths of all header names and values.
+MAX_HEADER_BYTES = 16_384
 
 TOO_LARGE = 413
 HEADER_TOO_LARGE = 431
 
 
-class Entered(msgspec.Struct, kw_only=True, frozen=True):
-    """Who calls, and on which terms."""
+class CallerContext(msgspec.Struct, kw_only=True, frozen=True):
+    """The caller's organisation and the options of its request."""
 
     organisation: Organisation
-    terms: Terms
+    options: RequestOptions
 
 
 @web.stream_request_body
 class CallerHandler(web.RequestHandler):
-    """Base of the handlers that callers reach.
+    """Base class of the handlers for callers.
 
-    `kind` is the kind of request for callers that name none.
+    `kind` is the kind of request if the caller sends no kind header.
     """
 
     kind = "chat"
 
     def initialize(self, *, core: Core) -> None:
-        """Take the entry's core."""
+        """Prepare for a request; Tornado passes `core` from the routes."""
         self.core = core
         self.chunks: list[bytes] = []
         self.size = 0
@@ -52,51 +56,54 @@
         self.refused = False
         self.is_counted = False
         self.deadline = math.inf
-        core.open.add(self)
+        core.callers.add(self)
         core.meter.note_arrival()
 
     def prepare(self) -> None:
-        """Refuse early what is too large."""
+        """Refuse a request that is too large before its body is read."""
         if self.core.is_draining:
-            # A client that kept its connection would send its next request
-            # to an entry that is about to end.
+            # With keep-alive the client would send its next request to an
+            # entry that is about to exit.
             self.set_header("Connection", "close")
         fields = self.request.headers.get_all()
-        if sum(len(n) + len(v) for n, v in fields) > MOST_HEADER_BYTES:
+        if sum(len(n) + len(v) for n, v in fields) > MAX_HEADER_BYTES:
             self._refuse(
                 CallerError(
                     status=HEADER_TOO_LARGE,
                     code="headers_too_long",
-                    text=f"The headers are longer than {MOST_HEADER_BYTES} bytes.",
+                    text=f"The headers are longer than {MAX_HEADER_BYTES} bytes.",
                 )
             )
             return
         length = self.request.headers.get("Content-Length", "0")
-        if length.isdigit() and int(length) > self._most_bytes:
+        if length.isdigit() and int(length) > self._max_body_bytes:
             self._refuse_size()
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Buffer a part of the body, or refuse a body that is too large."""
         if self.refused:
             return
         self.size += len(chunk)
-        if self.size > self._most_bytes:
+        if self.size > self._max_body_bytes:
             self._refuse_size()
             return
         self.chunks.append(chunk)
 
     def on_connection_close(self) -> None:
-        """Stop work for a caller that went away, where it may be stopped."""
+        """Cancel the work for a caller that has disconnected.
+
+        Work that was started by `Core.run_detached` goes on.
+        """
         self.responder.has_ended = True
-        self.core.open.discard(self)
+        self.core.callers.discard(self)
         if self.task is not None:
             self.core.meter.note_gone()
             self.task.cancel()
 
     def finish(self, chunk: str | bytes | dict | None = None) -> asyncio.Future[None]:
-        """End the answer; the request is over once that has left."""
+        """End the response; the request counts as open until it is sent."""
         written = super().finish(chunk)
-        written.add_done_callback(lambda _: self.core.open.discard(self))
+        written.add_done_callback(lambda _: self.core.callers.discard(self))
         return written
 
     @property
@@ -106,16 +113,19 @@
 
     @property
     def is_gone(self) -> bool:
-        """Tell whether the caller has closed its connection."""
+        """Whether the caller has closed its connection."""
         return self.responder.is_closed
 
-    def end_by(self, time: float) -> None:
-        """Keep back an answer that may not be whole before this entry ends."""
+    def set_end(self, time: float) -> None:
+        """Buffer the answer if it may not be complete when this entry exits.
+
+        `time` is when the entry exits, in the time of the event loop.
+        """
         if self.deadline > time:
-            self.responder.keep_back()
+            self.responder.buffer_until_complete()
 
     def end(self) -> None:
-        """Answer now, as this entry ends."""
+        """Answer at once, because this entry exits."""
         if self.responder.has_ended:
             return
         if self.task is None:
@@ -125,7 +135,7 @@
         self._send_error(report_unknown(reason=STOPPING))
 
     def on_finish(self) -> None:
-        """Count the request once its answer has been sent."""
+        """Count the request once its response has been sent."""
         self._count_end()
 
     def _count_end(self) -> None:
@@ -145,7 +155,7 @@
         )
 
     @property
-    def _most_bytes(self) -> int:
+    def _max_body_bytes(self) -> int:
         return self.core.snapshot.limits.body_bytes
 
     def _refuse_size(self) -> None:
@@ -153,15 +163,16 @@
             CallerError(
                 status=TOO_LARGE,
                 code="body_too_large",
-                text=f"The body is larger than {self._most_bytes} bytes.",
+                text=f"The body is larger than {self._max_body_bytes} bytes.",
             )
         )
 
     def _refuse(self, error: CallerError) -> None:
         self.refused = True
         self.set_header("Connection", "close")
-        # The library closes connections on which half a request has been read:
-        # what still comes would reset the answer away.
+        # Tornado closes a connection on which only part of a request was read.  If
+        # the rest of the request then arrives, the kernel resets the connection and
+        # the caller loses the response.
         self.core.lingering.follow(self.stream)
         self._send_error(error)
 
@@ -172,28 +183,28 @@
         )
         write_error(responder=self.responder, labels=labels, error=error)
 
-    def _enter(self) -> Entered | CallerError:
-        """Return who calls on which terms, if the entry takes requests."""
-        closed = self.core.find_closed()
-        if closed is not None:
-            return closed
+    def _identify_caller(self) -> CallerContext | CallerError:
+        """Authenticate the caller and parse its options, if the entry is open."""
+        refusal = self.core.find_refusal()
+        if refusal is not None:
+            return refusal
         snapshot = self.core.snapshot
-        found = authenticate_caller(
+        organisation = authenticate_caller(
             snapshot=snapshot,
             authorization=self.request.headers.get("Authorization"),
         )
-        if isinstance(found, CallerError):
-            return found
-        terms = read_terms(
+        if isinstance(organisation, CallerError):
+            return organisation
+        options = read_options(
             sent=self.request.headers, limits=snapshot.limits, kind=self.kind
         )
-        if isinstance(terms, CallerError):
-            return terms
-        self.deadline = asyncio.get_running_loop().time() + terms.within
-        return Entered(organisation=found, terms=terms)
+        if isinstance(options, CallerError):
+            return options
+        self.deadline = asyncio.get_running_loop().time() + options.remaining
+        return CallerContext(organisation=organisation, options=options)
 
     async def _run(self, work: Awaitable[None]) -> None:
-        """Run a flow that ends when its caller goes away."""
+        """Run the work for a request; it is cancelled if the caller disconnects."""
         self.task = asyncio.ensure_future(work)
         try:
             await self.task
@@ -201,11 +212,11 @@
             if not self.task.cancelled():
                 raise
         except StreamClosedError:
-            log.debug("callers: a caller went away")
+            log.debug("callers: the caller disconnected")
         except Exception:
             log.exception("callers: a request failed")
-            # The fault may have come before or after the request was sent to
-            # an endpoint, so neither "not run" nor "ran" would be sure.
+            # The exception may have occurred before or after the request was sent
+            # to an endpoint, so whether it ran is unknown.
             self._send_error(
                 CallerError(
                     status=500,
--- a/eelgrassrack/entry/channels.py
+++ b/eelgrassrack/entry/channels.py
@@ -1,9 +1,9 @@
-"""Attempts under way, seen from the entry that dispatched them.
+"""In-flight attempts, as seen by the entry that dispatched them.
 
-A channel gathers what an agent says of one attempt and proves that the
-answer is whole: pieces are numbered, and the end names their count and
-digest.  Every message names its attempt, so an answer that comes late or
-for another attempt finds no channel and goes nowhere.
+A channel collects an agent's messages about one attempt and verifies that the
+answer is complete: pieces are numbered, and the last message holds their
+count and digest.  Every message carries its attempt's id, so late messages
+and those for other attempts find no channel and are dropped.
 """
 
 import asyncio
@@ -36,23 +36,24 @@
 Post = Callable[[str, object], None]
 Sink = Callable[[bytes], None]
 
-# An agent that said nothing of an attempt for this long is asked.  A
-# healthy one answers a start within a round trip of a few milliseconds.
-ASK_AFTER = 1.0
+# The entry asks about an attempt if its agent has sent nothing for this long.  A
+# healthy agent answers a start within a round trip of a few milliseconds.
+ASK_AFTER_SECONDS = 1.0
 
-# After this many seconds of unanswered questions the agent counts as gone.
-GONE_AFTER = 5.0
+# The agent counts as gone if it has sent nothing about an attempt for this long.
+GONE_AFTER_SECONDS = 5.0
 
-# At its deadline an attempt is cancelled, and the agent has this long to
-# say whether it had started.  The caller's answer waits for no more.
-LAST_WORD = 0.25
+# An attempt is cancelled this long before its deadline, so that the agent can
+# still report whether it had started before the caller is answered.
+CANCEL_REPLY_SECONDS = 0.25
 
-# A caller whose request was withdrawn because this entry ends finds another.
-COME_BACK_SECONDS = 1.0
+# Retry-After for a request that was cancelled because this entry stops: another
+# entry can take it.
+STOP_RETRY_SECONDS = 1.0
 
 
 class Completed(msgspec.Struct, kw_only=True, frozen=True):
-    """The attempt ran and its whole answer is here."""
+    """The attempt ran, and its answer was received completely."""
 
     attempt: str
     pieces: tuple[bytes, ...]
@@ -62,21 +63,24 @@
 
 
 class NeverStarted(msgspec.Struct, kw_only=True, frozen=True):
-    """The agent vowed that the attempt hasn't started and never will."""
+    """The agent guarantees that the attempt hasn't started and never will.
+
+    `retry_after` is in seconds.
+    """
 
     refusal: Refusal
     retry_after: float
 
 
 class AttemptFailed(msgspec.Struct, kw_only=True, frozen=True):
-    """The attempt started and ended without a whole answer."""
+    """The attempt started and ended without a complete answer."""
 
     finish: Finish
     reason: str
 
 
 class OutcomeUnknown(msgspec.Struct, kw_only=True, frozen=True):
-    """Nobody can say whether the attempt ran."""
+    """It is unknown whether the attempt ran."""
 
     reason: str
 
@@ -85,7 +89,12 @@
 
 
 class Channel:
-    """One attempt: what came of it so far and how it ended."""
+    """Collects the messages about one attempt and determines its outcome.
+
+    `sink` receives each piece as it arrives, `keeps_pieces` retains the pieces
+    for the outcome.  `expected` is the number of the next piece.  All times
+    are in the time of the event loop.
+    """
 
     __slots__ = (
         "_asked_at",
@@ -101,9 +110,9 @@
         "endpoint",
         "expected",
         "first_at",
-        "heard_at",
-        "is_shortened",
-        "keeps",
+        "last_message_at",
+        "is_deadline_shortened",
+        "keeps_pieces",
         "outcome",
         "pieces",
         "repeatable",
@@ -121,7 +130,7 @@
         now: float,
         post: Post,
         sink: Sink | None = None,
-        keeps: bool = True,
+        keeps_pieces: bool = True,
         repeatable: bool = True,
     ) -> None:
         self.attempt = attempt
@@ -129,8 +138,8 @@
         self.agent = agent
         self.address = address
         self.deadline = deadline
-        self.heard_at = now
-        self.is_shortened = False
+        self.last_message_at = now
+        self.is_deadline_shortened = False
         self.begun = False
         self.first_at: float | None = None
         self.repeatable = repeatable
@@ -138,7 +147,7 @@
         self.expected = 0
         self.pieces: list[bytes] = []
         self.sink = sink
-        self.keeps = keeps
+        self.keeps_pieces = keeps_pieces
         self.outcome: asyncio.Future[Outcome] = (
             asyncio.get_running_loop().create_future()
         )
@@ -149,29 +158,29 @@
 
     @property
     def has_delivered(self) -> bool:
-        """Tell whether bytes of this answer went to the caller."""
+        """Whether a part of this answer was sent to the caller."""
         return self.sink is not None and self.expected > 0
 
-    def end_by(self, time: float) -> None:
-        """Give the attempt until this entry ends."""
+    def set_end(self, time: float) -> None:
+        """End the attempt by `time`, when this entry exits, at the latest."""
         if time <= self.deadline:
             self.deadline = time
-            self.is_shortened = True
+            self.is_deadline_shortened = True
 
     def take_piece(self, piece: Piece, now: float) -> None:
-        """Take the next piece; ask again for one that is missing."""
-        self.heard_at = now
+        """Accept the next piece, or request the missing ones after a gap."""
+        self.last_message_at = now
         self.begun = True
         if piece.number < self.expected or self.outcome.done():
             return
         if piece.number > self.expected:
-            self._ask_for_missing(now)
+            self._request_missing(now)
             return
         if not self.expected:
             self.first_at = now
         self.expected += 1
         self._hash.update(piece.data)
-        if self.keeps:
+        if self.keeps_pieces:
             self.pieces.append(piece.data)
         if self.sink is not None:
             self.sink(piece.data)
@@ -179,8 +188,8 @@
             self._finish_if_complete(self._ended, now)
 
     def take(self, message: object, now: float) -> None:
-        """Take what the agent says of the attempt."""
-        self.heard_at = now
+        """Process a message from the agent about the attempt."""
+        self.last_message_at = now
         self._asked_at = None
         match message:
             case Begun():
@@ -189,7 +198,7 @@
                 pass
             case NotStarted(refusal=refusal, retry_after=retry_after):
                 if self._was_stopped:
-                    retry_after = max(retry_after, COME_BACK_SECONDS)
+                    retry_after = max(retry_after, STOP_RETRY_SECONDS)
                 self.settle(NeverStarted(refusal=refusal, retry_after=retry_after))
             case UnknownAttempt():
                 self.settle(OutcomeUnknown(reason="the agent was restarted"))
@@ -199,37 +208,39 @@
                 self._finish_if_complete(message, now)
             case Ended(finish=Finish.CANCELLED) if self._was_stopped:
                 self.begun = True
-                self._end_cancelled()
+                self._settle_cancelled()
             case Ended(finish=finish, reason=reason):
                 self.begun = True
                 self.settle(AttemptFailed(finish=finish, reason=reason or finish.value))
 
     def settle(self, outcome: Outcome) -> None:
-        """End the attempt for the waiting dispatcher; the first end counts."""
+        """Set the outcome of the attempt, unless it has one."""
         if not self.outcome.done():
             self.outcome.set_result(outcome)
 
-    def watch(self, now: float) -> None:
-        """Ask a silent agent, cancel at the deadline, give up at last."""
+    def check_timeouts(self, now: float) -> None:
+        """Ask a silent agent, cancel before the deadline, and give up in the end."""
         if self.outcome.done():
             return
         if self.cancelled_at is not None:
-            if now - self.cancelled_at >= LAST_WORD:
-                self._end_cancelled()
-        elif now >= self.deadline - LAST_WORD:
+            if now - self.cancelled_at >= CANCEL_REPLY_SECONDS:
+                self._settle_cancelled()
+        elif now >= self.deadline - CANCEL_REPLY_SECONDS:
             self.cancel(now)
-        elif now - self.heard_at >= GONE_AFTER and not self.begun:
+        elif now - self.last_message_at >= GONE_AFTER_SECONDS and not self.begun:
             self.settle(OutcomeUnknown(reason="the agent is silent"))
-        elif now - self.heard_at >= ASK_AFTER and not self.begun:
+        elif now - self.last_message_at >= ASK_AFTER_SECONDS and not self.begun:
             self._ask(now)
-        elif self._ended is not None and now - self.heard_at >= ASK_AFTER:
-            self._ask_for_missing(now)
+        elif (
+            self._ended is not None and now - self.last_message_at >= ASK_AFTER_SECONDS
+        ):
+            self._request_missing(now)
 
     def cancel(self, now: float) -> None:
-        """Withdraw the attempt and wait briefly for the agent's word.
+        """Cancel the attempt; `check_timeouts` then waits for the agent's reply.
 
-        What may not be repeated is left to run if it has started: cut
-        off, nobody could say what effect it had.
+        An attempt that isn't repeatable goes on if it has started, because
+        the effect of a run that was cut off is unknown.
         """
         self.cancelled_at = now
         message = Cancel(
@@ -241,35 +252,34 @@
 
     @property
     def _was_stopped(self) -> bool:
-        """Tell whether the attempt was withdrawn because this entry ends."""
-        return self.is_shortened and self.cancelled_at is not None
+        """Whether the attempt was cancelled because this entry stops."""
+        return self.is_deadline_shortened and self.cancelled_at is not None
 
-    def _end_cancelled(self) -> None:
-        reason = STOPPING if self.is_shortened else "deadline"
-        finish = Finish.CUT if self.is_shortened else Finish.DEADLINE
+    def _settle_cancelled(self) -> None:
+        reason = STOPPING if self.is_deadline_shortened else "deadline"
+        finish = Finish.CUT if self.is_deadline_shortened else Finish.DEADLINE
         if self.begun and self.repeatable:
             self.settle(AttemptFailed(finish=finish, reason=reason))
         else:
             self.settle(OutcomeUnknown(reason=reason))
 
     def _ask(self, now: float) -> None:
-        if self._asked_at is not None and now - self._asked_at < ASK_AFTER:
+        if self._asked_at is not None and now - self._asked_at < ASK_AFTER_SECONDS:
             return
         self._asked_at = now
         self._post(self.address, Ask(attempt=self.attempt, agent=self.agent))
 
-    def _ask_for_missing(self, now: float) -> None:
-        # A parcel lost on a cut connection leaves a gap in the numbers.
-        # The agent keeps the pieces, so the rest is asked for again
-        # instead of passing on an answer with a hole in it.
-        if self._asked_at is not None and now - self._asked_at < LAST_WORD:
+    def _request_missing(self, now: float) -> None:
+        # A batch lost with its connection leaves a gap in the numbers.  The
+        # agent keeps the pieces, so the missing ones are requested again.
+        if self._asked_at is not None and now - self._asked_at < CANCEL_REPLY_SECONDS:
             return
         self._asked_at = now
         self._post(self.address, Resume(attempt=self.attempt, offset=self.expected))
 
     def _finish_if_complete(self, ended: Ended, now: float) -> None:
         if self.expected < ended.pieces:
-            self._ask_for_missing(now)
+            self._request_missing(now)
             return
         if self._hash.hexdigest() != ended.digest:
             self.settle(AttemptFailed(finish=Finish.CUT, reason="digest differs"))
@@ -285,12 +295,12 @@
         )
 
 
-def _speaks_for_other(message: object) -> bool:
-    """Tell whether a restarted agent says this of its predecessor's attempt.
+def _is_about_predecessor(message: object) -> bool:
+    """Return whether a restarted agent may report this on an earlier attempt.
 
-    A start is sent once, and a connection delivers it once at most.  One
-    that reached the new incarnation, which refuses it, never reached the
-    old one.
+    A start is sent once, and a connection delivers it at most once.  If it
+    reached the new incarnation, which refuses it, it never reached the old
+    one.
     """
     match message:
         case UnknownAttempt():
@@ -301,7 +311,7 @@
 
 
 class Channels:
-    """All channels of an entry, by attempt."""
+    """The channels of an entry by attempt id."""
 
     __slots__ = ("_by_attempt", "_ends_at", "_invariants")
 
@@ -311,59 +321,59 @@
         self._invariants = invariants
 
     def __len__(self) -> int:
-        """Return how many attempts are under way."""
+        """Return the number of attempts in flight."""
         return len(self._by_attempt)
 
     def add(self, channel: Channel) -> None:
-        """Follow an attempt; its name must be new."""
+        """Add the channel of a new attempt, whose id must be unused."""
         self._invariants.check(
             Promise.WHOLE_ANSWER,
             channel.attempt not in self._by_attempt,
             "an attempt id was used twice",
         )
-        channel.end_by(self._ends_at)
+        channel.set_end(self._ends_at)
         self._by_attempt[channel.attempt] = channel
 
-    def end_by(self, time: float) -> None:
-        """Have all attempts ended by the end of this entry."""
+    def set_end(self, time: float) -> None:
+        """End all attempts by `time`, when this entry exits, at the latest."""
         self._ends_at = time
         for channel in self._by_attempt.values():
-            channel.end_by(time)
+            channel.set_end(time)
 
     def remove(self, channel: Channel) -> None:
-        """Stop following an attempt; whatever still comes is dropped."""
+        """Remove a channel; later messages about its attempt are dropped."""
         self._by_attempt.pop(channel.attempt, None)
 
     def find(self, attempt: str) -> Channel | None:
-        """Return the channel of an attempt."""
+        """Return the channel of an attempt, or None if there is none."""
         return self._by_attempt.get(attempt)
 
     def take_piece(self, piece: Piece, sender: str, now: float) -> None:
-        """Hand a piece to its channel if it comes from the right agent."""
+        """Pass a piece to its channel if the attempt's agent sent it."""
         channel = self._by_attempt.get(piece.attempt)
         if channel is not None and sender == channel.agent:
             channel.take_piece(piece, now)
 
     def take(self, message: object, sender: str, now: float) -> None:
-        """Hand a message to its channel if it comes from the right agent."""
+        """Pass a message to its channel if the attempt's agent sent it."""
         if isinstance(message, Piece):
             self.take_piece(message, sender, now)
             return
         channel = self._by_attempt.get(message.attempt)
         if channel is None:
             return
-        # Another process may listen at the agent's old address.  Its
-        # answers are about its own attempts, never about this one.
-        if sender == channel.agent or _speaks_for_other(message):
+        # Another process may now listen at the agent's address.  What it reports
+        # isn't about this attempt.
+        if sender == channel.agent or _is_about_predecessor(message):
             channel.take(message, now)
 
-    def watch(self, now: float) -> None:
-        """Look after every attempt that is overdue."""
+    def check_timeouts(self, now: float) -> None:
+        """Check the timeouts of every attempt."""
         for channel in tuple(self._by_attempt.values()):
-            channel.watch(now)
+            channel.check_timeouts(now)
 
     def lose_agent(self, *, agent: str, reason: str) -> None:
-        """Settle the attempts of an agent that is gone."""
+        """Set the outcome of all attempts of a lost agent to unknown."""
         for channel in tuple(self._by_attempt.values()):
             if channel.agent == agent:
                 channel.settle(OutcomeUnknown(reason=reason))
--- a/eelgrassrack/entry/chat.py
+++ b/eelgrassrack/entry/chat.py
@@ -1,4 +1,4 @@
-"""A chat request from its route to its last byte."""
+"""Chat requests: routing, admission, the steps of a cascade and the response."""
 
 import random
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from ..decisions.stopping import DrainAction
 from ..document.sections import Organisation
 from ..document.snapshot import Snapshot
-from .admission import Door
+from .admission import AdmissionControl
 from .answers import Labels, Responder, write_chat_body, write_error
 from .arrivals import ChatArrival
 from .identity import Identity
@@ -15,18 +15,18 @@
 from .ratings import Ratings
 from .refusals import CallerError
 from .routes import Route, find_route
-from .steps import Request, StepAnswered, StepFailed, StepRunner
+from .steps import ChatRequest, StepAnswered, StepFailed, StepRunner
 
 
 class ChatFlow:
-    """Answer chat requests."""
+    """Answers chat requests."""
 
     __slots__ = (
-        "_chooser",
+        "_planner",
         "_clock",
-        "_door",
+        "_admission",
         "_identity",
-        "_ledger",
+        "_find_ledger",
         "_meter",
         "_rng",
         "_ratings",
@@ -36,20 +36,20 @@
     def __init__(
         self,
         *,
-        chooser: CascadePlanner,
-        door: Door,
+        planner: CascadePlanner,
+        admission: AdmissionControl,
         identity: Identity,
-        ledger: Callable[[], str],
+        find_ledger: Callable[[], str],
         meter: Meter,
         ratings: Ratings,
         steps: StepRunner,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        self._chooser = chooser
-        self._door = door
+        self._planner = planner
+        self._admission = admission
         self._identity = identity
-        self._ledger = ledger
+        self._find_ledger = find_ledger
         self._meter = meter
         self._ratings = ratings
         self._steps = steps
@@ -64,7 +64,7 @@
         snapshot: Snapshot,
         responder: Responder,
     ) -> None:
-        """Send a request's answer, or the error in its place."""
+        """Send the answer to a request, or an error."""
         request = self._prepare(arrival, organisation, snapshot, responder)
         if isinstance(request, StepFailed):
             write_error(responder=responder, labels=request.labels, error=request.error)
@@ -72,7 +72,7 @@
         try:
             result = await self._run(request, responder)
         finally:
-            self._door.release(organisation=organisation)
+            self._admission.release(organisation=organisation)
         match result:
             case StepFailed(labels=labels, error=error):
                 write_error(responder=responder, labels=labels, error=error)
@@ -85,7 +85,7 @@
         organisation: Organisation,
         snapshot: Snapshot,
         responder: Responder,
-    ) -> Request | StepFailed:
+    ) -> ChatRequest | StepFailed:
         labels = Labels(
             request=self._identity.make_request(), revision=snapshot.revision
         )
@@ -98,15 +98,15 @@
         if isinstance(admitted, CallerError):
             return StepFailed(labels=labels, error=admitted)
         if admitted is DrainAction.HOLD:
-            responder.keep_back()
-        return Request(
-            identity=labels.request,
+            responder.buffer_until_complete()
+        return ChatRequest(
+            request_id=labels.request,
             arrival=arrival,
             organisation=organisation,
             snapshot=snapshot,
             route=route,
-            deadline=self._door.find_deadline(within=arrival.terms.within),
-            ledger=self._ledger(),
+            deadline=self._admission.find_deadline(remaining=arrival.options.remaining),
+            ledger=self._find_ledger(),
         )
 
     def _admit(
@@ -116,18 +116,18 @@
         snapshot: Snapshot,
         route: Route,
     ) -> CallerError | DrainAction:
-        return self._door.admit(
+        return self._admission.admit(
             organisation=organisation,
             snapshot=snapshot,
             tokens=arrival.tokens,
-            within=arrival.terms.within,
+            remaining=arrival.options.remaining,
             versions=[
                 tuple(version.name for version in step.active) for step in route.steps
             ],
         )
 
     async def _run(
-        self, request: Request, responder: Responder
+        self, request: ChatRequest, responder: Responder
     ) -> StepAnswered | StepFailed:
         plan = self._plan(request)
         last = len(request.route.steps) - 1
@@ -140,8 +140,8 @@
                 responder=responder,
             )
             if isinstance(result, StepFailed):
-                # A dearer step that fails leaves the cheaper answer, which
-                # is whole, unless a part of this one went out already.
+                # If a more expensive step fails, the complete answer of the cheaper
+                # one is sent, unless a part of the failed answer was sent already.
                 return result if best is None or responder.has_begun else best
             best = result
             if index == last or await self._is_good_enough(request, index, best):
@@ -149,10 +149,10 @@
             self._meter.note_escalation()
         return best
 
-    def _plan(self, request: Request) -> CascadePlan:
+    def _plan(self, request: ChatRequest) -> CascadePlan:
         if not request.route.is_cascade:
             return CascadePlan(first=0, direct=True)
-        return self._chooser.plan(
+        return self._planner.plan(
             kind=request.kind,
             target=request.organisation.quality_target,
             preference=request.organisation.preference,
@@ -162,21 +162,21 @@
         )
 
     async def _is_good_enough(
-        self, request: Request, index: int, answered: StepAnswered
+        self, request: ChatRequest, index: int, answered: StepAnswered
     ) -> bool:
         if answered.is_sent:
             return True
-        left = request.deadline - self._clock()
+        remaining = request.deadline - self._clock()
         rating = await self._ratings.rate(
             kind=request.kind,
             model=answered.model,
             version=answered.labels.version,
             prompt=request.arrival.prompt,
             answer=answered.read_text(is_streamed=request.arrival.stream),
-            timeout=min(request.snapshot.limits.rating_timeout, left / 2),
+            timeout=min(request.snapshot.limits.rating_timeout, remaining / 2),
         )
         rungs = request.rungs
-        verdict = self._chooser.judge(
+        verdict = self._planner.judge(
             rating=rating,
             target=request.organisation.quality_target,
             rung=rungs[index],
@@ -186,13 +186,13 @@
         return isinstance(verdict, Deliver)
 
     def _deliver(
-        self, request: Request, answered: StepAnswered, responder: Responder
+        self, request: ChatRequest, answered: StepAnswered, responder: Responder
     ) -> None:
         arrival = request.arrival
         if not request.route.is_cascade or answered.is_sent:
             self._sample(request, answered)
         if not arrival.stream:
-            body = b"".join(answered.whole.pieces)
+            body = b"".join(answered.completed.pieces)
             error = write_chat_body(
                 responder=responder, labels=answered.labels, body=body
             )
@@ -200,15 +200,15 @@
                 write_error(responder=responder, labels=answered.labels, error=error)
             return
         if not answered.is_sent:
-            for piece in answered.whole.pieces:
+            for piece in answered.completed.pieces:
                 answered.stream.write_piece(piece)
         answered.stream.finish(
-            bill=answered.whole.bill, wants_usage=arrival.wants_usage
+            bill=answered.completed.bill, wants_usage=arrival.wants_usage
         )
 
-    def _sample(self, request: Request, answered: StepAnswered) -> None:
+    def _sample(self, request: ChatRequest, answered: StepAnswered) -> None:
         is_streamed = request.arrival.stream
-        if not answered.is_sample or not answered.whole.pieces:
+        if not answered.is_sample or not answered.completed.pieces:
             return
         self._ratings.sample(
             kind=request.kind,
--- a/eelgrassrack/entry/configuration.py
+++ b/eelgrassrack/entry/configuration.py
@@ -1,11 +1,11 @@
-"""The document in force at this entry, and how agents and peers learn it.
-
-Revisions only ever rise.  They come from a watch on the document's head
-and, while the object API is away, from peers.  An entry that was paused
-doesn't trust what it knew: it serves nobody until the head or a peer has
-confirmed the revision, because a version may have been withdrawn meanwhile.
-What peers said before the pause may come long after it, so only the answer to
-a question that was asked since confirms a revision.
+"""The configuration document in force at this entry.
+
+Revisions only increase.  They come from a watch on the document's head and,
+while the object API is unavailable, from peers.  After a pause of its process
+an entry serves no requests until the head or a peer has confirmed the
+revision, because a version may have been withdrawn meanwhile.  Messages that
+peers sent before the pause may arrive long after it, so only the answer to a
+question that was sent after the pause confirms the revision.
 """
 
 import asyncio
@@ -26,50 +26,51 @@
 
 WATCH_SECONDS = 30.0
 
-# While there is no document an entry looks for one this often.
+# Interval between reads while there is no document.
 NO_DOCUMENT_SECONDS = 0.5
 
-# A gap between two ticks that is longer than this was a pause.  It is well
-# under the few seconds within which a withdrawal must be in force.
-LONGEST_GAP = 2.0
+# A longer gap between two ticks means that the process was paused.  It is well
+# below the few seconds within which a withdrawal must be in force.
+MAX_TICK_GAP_SECONDS = 2.0
 
 QUESTION_BITS = 53
 
-# Nobody may be there to confirm: the object API is away and no peer lives.
-# Then no document can have been accepted either, as far as this entry can
-# know, and it goes on with the one it has.
+# If neither the object API nor a peer answers within this time, the entry goes on
+# with the document that it has: as far as it can know, no other one can have been
+# accepted.
 CONFIRM_SECONDS = 1.0
 
-# A peer is ahead at each change, for as long as the own watch takes.  Asking
-# it at once would copy the whole document each time for nothing.
-WATCH_LAG = 0.5
+# After each change some peers have the new revision before this entry's own watch
+# returns it.  The entry waits this long before it asks a peer for the document,
+# because otherwise it would copy the whole document needlessly at every change.
+WATCH_LAG_SECONDS = 0.5
 
 Announce = Callable[[Snapshot], None]
 
 
-class Newer(msgspec.Struct, kw_only=True, frozen=True):
-    """A peer that has a newer document, and when that was seen."""
+class NewerPeer(msgspec.Struct, kw_only=True, frozen=True):
+    """A peer with a newer document, and when its revision was first seen."""
 
     address: str
     seen_at: float
 
 
 class Configuration:
-    """Keep the highest revision seen."""
+    """Holds the snapshot with the highest revision seen."""
 
     __slots__ = (
         "_announce",
         "_ask_peer",
         "_ask_peers",
         "_head",
-        "_newer",
+        "_newer_peer",
         "_question",
         "_revisions",
         "_loop",
-        "_seen_at",
-        "_sure",
+        "_ticked_at",
+        "_confirmed",
         "_version",
-        "_waiting",
+        "_waiting_calls",
         "snapshot",
     )
 
@@ -82,34 +83,39 @@
         ask_peer: Callable[[str, int], None],
         ask_peers: Callable[[int, int], None],
     ) -> None:
-        """Call `ask_peers` with the revision known and a question."""
+        """Create a configuration without a document.
+
+        `announce` is called with each new snapshot, `ask_peers` with the
+        current revision and a question, `ask_peer` with the address of one
+        peer and the current revision.
+        """
         self._announce = announce
         self._ask_peers = ask_peers
         self._head = head
         self._revisions = RevisionGuard(invariants=invariants)
         self._ask_peer = ask_peer
-        self._newer: Newer | None = None
+        self._newer_peer: NewerPeer | None = None
         self._question = 0
         self._loop = asyncio.get_running_loop()
-        self._seen_at = self._loop.time()
-        self._sure = asyncio.Event()
-        self._sure.set()
+        self._ticked_at = self._loop.time()
+        self._confirmed = asyncio.Event()
+        self._confirmed.set()
         self._version = 0
-        self._waiting: set[asyncio.Task] = set()
+        self._waiting_calls: set[asyncio.Task] = set()
         self.snapshot = Snapshot()
 
     @property
     def is_known(self) -> bool:
-        """Tell whether any document is in force."""
+        """Whether any document is in force."""
         return self.snapshot.revision > 0
 
     @property
-    def is_sure(self) -> bool:
-        """Tell whether the revision is known to be in force."""
-        return self._sure.is_set()
+    def is_confirmed(self) -> bool:
+        """Whether the revision was confirmed since the last pause."""
+        return self._confirmed.is_set()
 
     async def follow(self) -> None:
-        """Follow the document's head for ever."""
+        """Watch the document's head until cancelled."""
         while True:
             question = self._question
             found = await self._head.watch(
@@ -119,48 +125,51 @@
                 case HeadState():
                     self._version = found.version
                     self.take(found.snapshot)
-                    self._note_sure(question)
+                    self._note_confirmed(question)
                 case NoDocument():
                     await asyncio.sleep(NO_DOCUMENT_SECONDS)
                 case Unavailable(retry_after=seconds):
                     self._ask_peers(self.snapshot.revision, self._question)
                     await asyncio.sleep(seconds)
                 case Unchanged():
-                    self._note_sure(question)
+                    self._note_confirmed(question)
 
     def take(self, snapshot: Snapshot) -> bool:
-        """Put a snapshot in force if it is newer; return whether it was."""
+        """Put a snapshot in force if it is newer; return whether it is."""
         if not self._revisions.accept(snapshot.revision):
             return False
         self.snapshot = snapshot
-        self._newer = None
+        self._newer_peer = None
         self._revisions.check_in_force(snapshot.revision)
         log.info("configuration: revision {} in force", snapshot.revision)
         self._announce(snapshot)
         return True
 
     def take_copy(self, copy: DocumentCopy) -> None:
-        """Take a peer's document if it is newer."""
+        """Put the document that a peer sent in force if it is newer."""
         if copy.revision <= self.snapshot.revision:
             return
         try:
             snapshot = msgspec.msgpack.decode(copy.snapshot, type=Snapshot)
         except msgspec.DecodeError as error:
-            log.warning("configuration: a peer's copy can't be read: {}", error)
+            log.warning("configuration: can't decode a peer's document: {}", error)
             return
         if snapshot.revision == copy.revision:
             self.take(snapshot)
-            self._note_sure(copy.answers)
+            self._note_confirmed(copy.answers)
+
+    def note_peer_revision(self, revision: int, address: str, answers: int) -> None:
+        """Process the revision that the peer at `address` has in force.
 
-    def confirm(self, revision: int, address: str, answers: int) -> None:
-        """Note that the peer at an address has this revision in force."""
+        `answers` is the question that the peer answers, or 0.
+        """
         if revision <= self.snapshot.revision:
-            self._note_sure(answers)
-        elif self._newer is None:
-            self._newer = Newer(address=address, seen_at=self._loop.time())
+            self._note_confirmed(answers)
+        elif self._newer_peer is None:
+            self._newer_peer = NewerPeer(address=address, seen_at=self._loop.time())
 
     def build_copy(self, *, answers: int = 0) -> DocumentCopy:
-        """Return the document for a peer, perhaps as an answer."""
+        """Return the document for a peer; `answers` is its question, or 0."""
         return DocumentCopy(
             revision=self.snapshot.revision,
             snapshot=msgspec.msgpack.encode(self.snapshot),
@@ -168,43 +177,46 @@
         )
 
     def tick(self) -> None:
-        """Notice a pause of this process."""
+        """Detect a pause of this process, and ask a peer for a newer document."""
         now = self._loop.time()
-        gap, self._seen_at = now - self._seen_at, now
-        if gap > LONGEST_GAP and self.is_known:
+        gap, self._ticked_at = now - self._ticked_at, now
+        if gap > MAX_TICK_GAP_SECONDS and self.is_known:
             log.warning("configuration: paused for {:.1f} s", gap)
             self._question = 1 + secrets.randbits(QUESTION_BITS)
-            self._sure.clear()
-        if self._newer is not None and now - self._newer.seen_at > WATCH_LAG:
-            self._ask_peer(self._newer.address, self.snapshot.revision)
-            self._newer = None
-
-    async def wait_sure(self) -> None:
-        """Wait until the revision is known to be in force, within bounds."""
+            self._confirmed.clear()
+        if (
+            self._newer_peer is not None
+            and now - self._newer_peer.seen_at > WATCH_LAG_SECONDS
+        ):
+            self._ask_peer(self._newer_peer.address, self.snapshot.revision)
+            self._newer_peer = None
+
+    async def wait_confirmed(self) -> None:
+        """Wait until the revision is confirmed, or `CONFIRM_SECONDS` have passed."""
         self.tick()
-        while not self.is_sure:
+        while not self.is_confirmed:
             question = self._question
             self._ask_peers(self.snapshot.revision, question)
             try:
                 async with asyncio.timeout(CONFIRM_SECONDS):
-                    await self._confirm()
+                    await self._wait_confirmation()
             except TimeoutError:
-                log.warning("configuration: nobody confirms the revision")
-            self._note_sure(question)
+                log.warning("configuration: no answer confirms the revision")
+            self._note_confirmed(question)
 
-    def call_when_sure(self, call: Callable[[], None]) -> None:
-        """Call once the revision is known to be in force, within bounds."""
-        if self.is_sure:
+    def call_when_confirmed(self, call: Callable[[], None]) -> None:
+        """Call `call` after `wait_confirmed`, or now if the revision is confirmed."""
+        if self.is_confirmed:
             call()
             return
-        task = self._loop.create_task(self.wait_sure())
-        self._waiting.add(task)
-        task.add_done_callback(self._waiting.discard)
+        task = self._loop.create_task(self.wait_confirmed())
+        self._waiting_calls.add(task)
+        task.add_done_callback(self._waiting_calls.discard)
         task.add_done_callback(lambda done: done.cancelled() or call())
 
-    async def _confirm(self) -> None:
+    async def _wait_confirmation(self) -> None:
         read = asyncio.ensure_future(self._head.read())
-        waited = asyncio.ensure_future(self._sure.wait())
+        waited = asyncio.ensure_future(self._confirmed.wait())
         try:
             await asyncio.wait({read, waited}, return_when=asyncio.FIRST_COMPLETED)
             if read.done() and isinstance(read.result(), HeadState):
@@ -215,8 +227,8 @@
             read.cancel()
             waited.cancel()
 
-    def _note_sure(self, question: int) -> None:
-        """End the doubt by what was asked with a question, unless before a pause."""
+    def _note_confirmed(self, question: int) -> None:
+        """Confirm the revision unless the question was sent before a pause."""
         self.tick()
         if question == self._question:
-            self._sure.set()
+            self._confirmed.set()
--- a/eelgrassrack/entry/core.py
+++ b/eelgrassrack/entry/core.py
@@ -1,4 +1,4 @@
-"""What the handlers of one entry share."""
+"""The state that all HTTP handlers of an entry share."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -22,25 +22,25 @@
 
 
 class Caller(Protocol):
-    """A caller that waits for its answer, or for the rest of it."""
+    """An open request, as the entry sees it when it stops."""
 
     @property
     def stream(self) -> IOStream:
-        """Return its connection."""
+        """Return the caller's connection."""
 
     @property
     def is_gone(self) -> bool:
-        """Tell whether the caller has closed its connection."""
+        """Whether the caller has closed its connection."""
 
-    def end_by(self, time: float) -> None:
-        """Learn when this entry ends."""
+    def set_end(self, time: float) -> None:
+        """Prepare for the exit of this entry at `time`."""
 
     def end(self) -> None:
-        """Answer now, as this entry ends."""
+        """Answer at once, because this entry exits."""
 
 
 class Core:
-    """The parts of an entry that serve callers."""
+    """The parts of an entry that the handlers use, and its open requests."""
 
     __slots__ = (
         "_detached",
@@ -56,7 +56,7 @@
         "is_draining",
         "lingering",
         "name",
-        "open",
+        "callers",
         "services",
     )
 
@@ -86,7 +86,7 @@
         self.is_closing = False
         self.is_draining = False
         self.lingering = Lingering()
-        self.open: set[Caller] = set()
+        self.callers: set[Caller] = set()
         self.services = services
         self._detached: set[asyncio.Future] = set()
 
@@ -95,32 +95,32 @@
         """Return the document in force."""
         return self.configuration.snapshot
 
-    async def wait_sure(self) -> None:
-        """Wait until the document is known to be in force."""
-        await self.configuration.wait_sure()
+    async def wait_confirmed(self) -> None:
+        """Wait until the document in force is confirmed."""
+        await self.configuration.wait_confirmed()
 
-    def find_closed(self, *, for_balancer: bool = False) -> CallerError | None:
-        """Return why this entry takes no requests, if it doesn't.
+    def find_refusal(self, *, for_balancer: bool = False) -> CallerError | None:
+        """Return the refusal of all requests, or None if this entry takes them.
 
-        A draining entry tells the balancer first and still serves the
-        requests that come until the balancer has followed.  One that is
-        closing refuses what still comes on a kept connection: it would be
-        cut when the process ends.
+        A draining entry first fails its readiness check and still serves
+        requests until the load balancer sends it no more.  Once it is closing
+        it also refuses requests on kept-alive connections, which would
+        otherwise be cut off when the process exits.
         """
         if self.is_closing:
             return refuse_unavailable(reason="draining", retry_after=1.0)
         if not self.configuration.is_known:
             return refuse_unavailable(reason="no_document", retry_after=2.0)
         if self.billing.is_full:
-            # Bills that can't be written may not be lost, and there is no
-            # room for more: a request served now could go unbilled.
+            # The unwritten bills must be kept and leave no room for more, so a
+            # request that is served now might not be billed.
             return refuse_unavailable(reason="ledger_full", retry_after=10.0)
         if for_balancer and self.is_draining:
             return refuse_unavailable(reason="draining", retry_after=1.0)
         return None
 
-    def keep(self, work: Awaitable[None]) -> asyncio.Future:
-        """Run work that goes on when its caller goes away."""
+    def run_detached(self, work: Awaitable[None]) -> asyncio.Future:
+        """Run work that goes on when its caller disconnects."""
         future = asyncio.ensure_future(work)
         self._detached.add(future)
         future.add_done_callback(self._detached.discard)
@@ -128,31 +128,31 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is under way."""
+        """Whether there is no open request and no detached work."""
         return not self.open_requests and not self._detached
 
     @property
     def open_requests(self) -> int:
-        """Return how many callers wait for an answer, or for the rest of it."""
-        self.open -= {caller for caller in self.open if caller.is_gone}
-        return len(self.open)
+        """Return the number of callers whose response isn't complete."""
+        self.callers -= {caller for caller in self.callers if caller.is_gone}
+        return len(self.callers)
 
     def list_streams(self) -> set[IOStream]:
-        """Return the connections of callers that wait."""
-        return {caller.stream for caller in self.open}
+        """Return the connections of open requests."""
+        return {caller.stream for caller in self.callers}
 
-    def end_by(self, time: float) -> None:
-        """Learn when this entry ends."""
-        for caller in self.open:
-            caller.end_by(time)
+    def set_end(self, time: float) -> None:
+        """Prepare all open requests for the exit of this entry at `time`."""
+        for caller in self.callers:
+            caller.set_end(time)
 
-    def end_rest(self) -> None:
-        """Answer all callers that still wait."""
-        for caller in tuple(self.open):
+    def end_all(self) -> None:
+        """Answer all open requests at once."""
+        for caller in tuple(self.callers):
             caller.end()
 
     def describe(self) -> EntryStatus:
-        """Return what this entry knows, for operators."""
+        """Return the status of this entry for operators."""
         now = asyncio.get_running_loop().time()
         return EntryStatus(
             name=self.name,
@@ -204,7 +204,7 @@
 
 
 def _explain(verdict: Verdict) -> str:
-    """Return what operators are told of a version's health."""
+    """Return the description of a version's health for operators."""
     if verdict.health is Health.SOUND:
         return verdict.health.value
     return f"{verdict.health.value}: {verdict.signal.value}"
@@ -228,5 +228,5 @@
         leaving=endpoint.leaving or load.leaving,
         engine_up=load.engine_up,
         revision=load.revision,
-        age=now - endpoint.heard_at,
+        age=now - endpoint.heartbeat_at,
     )
--- a/eelgrassrack/entry/daemon.py
+++ b/eelgrassrack/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry as a process of its own."""
+"""Runs an entry as a process."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 async def serve(*, settings: EntrySettings) -> int:
-    """Run an entry on this loop until it is told to stop."""
+    """Run an entry on this event loop until SIGTERM or SIGINT."""
     store = HttpObjectStore(url=settings.objects_url, caller=settings.name)
     instances = HttpInstanceList(url=settings.instances_url)
     rating = RatingClient(url=settings.rating_url) if settings.rating_url else None
--- a/eelgrassrack/entry/directory.py
+++ b/eelgrassrack/entry/directory.py
@@ -1,9 +1,9 @@
-"""The agents that this entry knows, and what they last said.
+"""The endpoints that this entry knows, with the last report of each agent.
 
-The instance list says which endpoints exist and where their agents
-listen; heartbeats say how loaded they are and which incarnation runs.
-Both lag.  An agent whose heartbeat is overdue is no candidate, and one
-that came back under a new incarnation has lost what it was given.
+The instance list holds the endpoints and the addresses of their agents;
+heartbeats hold each agent's load and incarnation.  Both may be out of date.
+An endpoint whose heartbeat is overdue gets no requests, and an agent with a
+new incarnation has lost the attempts of the old one.
 """
 
 import enum
@@ -17,15 +17,17 @@
 
 log = logbook.Logger("directory")
 
-# An agent beats each second; three missed beats make it no candidate.
-SILENT_AFTER = 3.5
+# An agent sends a heartbeat each second.  After three missed ones its endpoint gets
+# no requests.
+SILENT_AFTER_SECONDS = 3.5
 
-# After this long its attempts count as lost, so that callers learn it.
-GONE_AFTER = 6.0
+# After this long without a heartbeat the agent counts as gone, and callers are told
+# that the outcome of their attempts is unknown.
+GONE_AFTER_SECONDS = 6.0
 
 
-class Absence(enum.Enum):
-    """Why there is no endpoint for a request."""
+class NoEndpointReason(enum.Enum):
+    """Why no endpoint can take a request."""
 
     NONE_KNOWN = "no_endpoint"
     DOMAINS_OUT = "domains_out"
@@ -35,19 +37,19 @@
 
 
 class EndpointRecord:
-    """One endpoint: its place and its agent's last heartbeat.
+    """An endpoint's location and the last heartbeat of its agent.
 
-    `address` is where its agent was heard last, `listed_address` where the
-    instance list has it; they differ while an instance is replaced.
-    `running` counts the attempts this entry has under way there, which
-    no report shows yet.
+    `address` is the agent's address in its last heartbeat, `listed_address`
+    the one in the instance list; they differ while an instance is replaced.
+    `running` counts this entry's attempts in flight there, which no
+    load report includes yet.
     """
 
     __slots__ = (
         "address",
         "agent",
         "domain",
-        "heard_at",
+        "heartbeat_at",
         "is_listed",
         "leaving",
         "listed_address",
@@ -64,23 +66,23 @@
         self.address = address
         self.listed_address = address
         self.agent = ""
-        self.heard_at = float("-inf")
+        self.heartbeat_at = float("-inf")
         self.load: Load | None = None
         self.leaving = False
         self.is_listed = True
         self.running = 0
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether heartbeats are overdue."""
-        return now - self.heard_at > SILENT_AFTER
+        """Return whether the next heartbeat is overdue at `now`."""
+        return now - self.heartbeat_at > SILENT_AFTER_SECONDS
 
 
 class Directory:
-    """Endpoints by name, kept up to date from the list and heartbeats.
+    """Endpoints by name, updated from the instance list and heartbeats.
 
-    The list may hold thousands of endpoints, of which an entry hears a
-    hundred or so.  These are held apart, so that neither a request nor a
-    tick has to look at all others.
+    The list may hold thousands of endpoints, but only a hundred or so report
+    to an entry.  They are stored separately, so that neither a request nor a
+    tick has to visit all others.
     """
 
     __slots__ = ("_by_name", "_reporting", "_on_agent_lost")
@@ -97,26 +99,26 @@
 
     @property
     def reporting(self) -> tuple[EndpointRecord, ...]:
-        """Return the endpoints whose agents beat."""
+        """Return the endpoints whose agents send heartbeats."""
         return tuple(self._reporting.values())
 
     def find(self, name: str) -> EndpointRecord | None:
-        """Return an endpoint by name."""
+        """Return an endpoint by name, or None."""
         return self._by_name.get(name)
 
-    def find_address(self, address: str) -> EndpointRecord | None:
-        """Return the endpoint whose agent listens at an address."""
+    def find_by_address(self, address: str) -> EndpointRecord | None:
+        """Return the endpoint whose agent listens at an address, or None."""
         matches = (endpoint for endpoint in self if endpoint.address == address)
         return next(matches, None)
 
     def take_listing(self, instances: Iterable[Instance]) -> None:
-        """Follow the platform's instance list."""
+        """Update the endpoints from the platform's instance list."""
         endpoints = {i.name: i for i in instances if i.role is Role.ENDPOINT}
         for name, instance in endpoints.items():
             self._take_instance(name, instance)
         for name in self._by_name.keys() - endpoints.keys():
-            # The list lags and has gaps; an agent that still beats is
-            # left to end its work but gets nothing new.
+            # The list is sometimes late or incomplete.  An agent that still sends
+            # heartbeats may finish its work but gets no new requests.
             self._by_name[name].is_listed = False
             if name not in self._reporting:
                 del self._by_name[name]
@@ -124,7 +126,7 @@
     def take_load(
         self, load: Load, address: str, agent: str, now: float
     ) -> EndpointRecord:
-        """Note an agent's heartbeat."""
+        """Update an endpoint from its agent's heartbeat, and return it."""
         endpoint = self._by_name.get(load.endpoint)
         if endpoint is None:
             endpoint = EndpointRecord(
@@ -141,13 +143,13 @@
         endpoint.agent = agent
         endpoint.address = address
         endpoint.load = load
-        endpoint.heard_at = now
+        endpoint.heartbeat_at = now
         return endpoint
 
     def drop_silent(self, now: float) -> None:
-        """Give up the work of agents that are silent for long."""
+        """Report agents without a recent heartbeat as lost."""
         for endpoint in self.reporting:
-            if now - endpoint.heard_at <= GONE_AFTER:
+            if now - endpoint.heartbeat_at <= GONE_AFTER_SECONDS:
                 continue
             log.info("directory: agent silent: {}", endpoint.name)
             self._on_agent_lost(endpoint.agent, "the agent is silent")
@@ -158,11 +160,11 @@
 
     def find_serving(
         self, *, snapshot: Snapshot, version: str, service: str, now: float
-    ) -> list[EndpointRecord] | Absence:
-        """Return the endpoints that may get the request now.
+    ) -> list[EndpointRecord] | NoEndpointReason:
+        """Return the endpoints that can take a request now, or why none can.
 
-        The document decides what a pool serves; an agent's own report
-        may only narrow it.
+        The document determines what a pool serves; an agent's report can
+        only exclude its endpoint.
         """
         pools = {
             pool.name
@@ -170,30 +172,30 @@
             if (version and version in pool.serves)
             or (service and service == pool.service)
         }
-        heard = [endpoint for endpoint in self.reporting if endpoint.pool in pools]
-        found = self._narrow(heard, snapshot, now)
-        if not isinstance(found, Absence):
+        reporting = [endpoint for endpoint in self.reporting if endpoint.pool in pools]
+        found = self._filter_available(reporting, snapshot, now)
+        if not isinstance(found, NoEndpointReason):
             return found
-        # Only the list can tell why there is none.
+        # The reason must take the listed endpoints that don't report into account.
         listed = [endpoint for endpoint in self if endpoint.pool in pools]
-        return self._narrow(listed, snapshot, now)
+        return self._filter_available(listed, snapshot, now)
 
-    def _narrow(
+    def _filter_available(
         self, found: list[EndpointRecord], snapshot: Snapshot, now: float
-    ) -> list[EndpointRecord] | Absence:
+    ) -> list[EndpointRecord] | NoEndpointReason:
         if not found:
-            return Absence.NONE_KNOWN
+            return NoEndpointReason.NONE_KNOWN
         found = [k for k in found if snapshot.is_domain_in(domain=k.domain)]
         if not found:
-            return Absence.DOMAINS_OUT
+            return NoEndpointReason.DOMAINS_OUT
         found = [k for k in found if self._is_staying(k, snapshot)]
         if not found:
-            return Absence.LEAVING
+            return NoEndpointReason.LEAVING
         found = [k for k in found if k.agent and not k.is_silent(now)]
         if not found:
-            return Absence.SILENT
+            return NoEndpointReason.SILENT
         found = [k for k in found if k.load.engine_up]
-        return found or Absence.ENGINES_DOWN
+        return found or NoEndpointReason.ENGINES_DOWN
 
     def _is_staying(self, endpoint: EndpointRecord, snapshot: Snapshot) -> bool:
         if endpoint.leaving or not endpoint.is_listed:
--- a/eelgrassrack/entry/dispatcher.py
+++ b/eelgrassrack/entry/dispatcher.py
@@ -1,8 +1,8 @@
-"""Send one step of a request to an agent, and again where that is safe.
+"""Dispatches a step of a request to an agent, with retries where they are safe.
 
-The dispatcher is the one layer that retries.  It picks an endpoint,
-posts the start, waits for the outcome and lets the retry budget judge
-whether another attempt may follow.
+The dispatcher is the only layer that retries.  It picks an endpoint, sends
+the start, waits for the outcome and asks the retry budget whether another
+attempt may follow.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 from ..decisions.quarantine import RunAlone
 from ..decisions.retries import GiveUp, Retry, RetryBudget
-from ..decisions.retries import Outcome as Standing
+from ..decisions.retries import Outcome as RetryOutcome
 from ..document.snapshot import Snapshot
 from ..invariants import Invariants, Promise
 from ..mailbox.messages import Crash, Finish, Refusal
@@ -29,11 +29,11 @@
 from .directory import EndpointRecord
 from .headers import Run
 from .identity import Identity
-from .jobs import Dispatched, Job, Placed, Reserve, build_start
+from .jobs import AttemptTarget, DispatchResult, Job, Reserve, build_start
 from .meter import Meter
 from .picker import Picker
 from .refusals import CallerError, refuse_withdrawn
-from .suspects import Suspects
+from .suspects import SuspectRequests
 
 log = logbook.Logger("dispatcher")
 
@@ -41,7 +41,7 @@
 
 
 class Dispatcher:
-    """Place, start and follow attempts."""
+    """Picks endpoints for attempts, starts them and waits for their outcomes."""
 
     __slots__ = (
         "_budget",
@@ -67,7 +67,7 @@
         meter: Meter,
         picker: Picker,
         post: Post,
-        suspects: Suspects,
+        suspects: SuspectRequests,
     ) -> None:
         self._meter = meter
         self._suspects = suspects
@@ -85,63 +85,63 @@
         *,
         job: Job,
         sink: Sink | None = None,
-        keeps: bool = True,
+        keeps_pieces: bool = True,
         reserve: Reserve | None = None,
-    ) -> Dispatched | CallerError:
-        """Run one step; return how it ended or why it was never sent.
+    ) -> DispatchResult | CallerError:
+        """Run one step; return its outcome, or why it was never sent.
 
-        `sink` gets the pieces as they come, `keeps` asks for them in the
-        outcome.  `reserve` is awaited before each attempt is sent and may
+        `sink` receives the pieces as they arrive, `keeps_pieces` puts them into
+        the outcome.  `reserve` is awaited before each attempt is sent and may
         refuse it.
         """
-        last = await self._try(job, sink, keeps, reserve)
+        last = await self._run_attempts(job, sink, keeps_pieces, reserve)
         if not _has_run(last) and self._is_withdrawn(job):
             return refuse_withdrawn()
         return last
 
-    async def _try(
-        self, job: Job, sink: Sink | None, keeps: bool, reserve: Reserve | None
-    ) -> Dispatched | CallerError:
-        """Send attempts until one's end is to be told, or none can be sent."""
+    async def _run_attempts(
+        self, job: Job, sink: Sink | None, keeps_pieces: bool, reserve: Reserve | None
+    ) -> DispatchResult | CallerError:
+        """Send attempts until one isn't retried or no more can be sent."""
         tried: list[str] = []
-        last: Dispatched | None = None
+        last: DispatchResult | None = None
         while True:
             endpoint = self._picker.choose(job=job, tried=tried)
-            standing = self._suspects.judge(fingerprint=job.fingerprint)
-            refused = self._find_refusal(job, endpoint, standing)
-            if refused is None:
-                placed = self._place(endpoint)
-                refused = await reserve(placed) if reserve else None
-            if refused is not None:
-                # What an earlier attempt came to is the truth to be told:
-                # "not run" would be false if that one had started.
-                return refused if last is None else last
-            alone = isinstance(standing, RunAlone)
-            channel = self._start(job, placed, sink, keeps, alone)
+            verdict = self._suspects.judge(fingerprint=job.fingerprint)
+            refusal = self._find_refusal(job, endpoint, verdict)
+            if refusal is None:
+                target = self._make_target(endpoint)
+                refusal = await reserve(target) if reserve else None
+            if refusal is not None:
+                # An earlier attempt may have started, so its result is returned and not
+                # the refusal, which says "not run".
+                return refusal if last is None else last
+            alone = isinstance(verdict, RunAlone)
+            channel = self._start(job, target, sink, keeps_pieces, alone)
             outcome = await self._follow(channel, endpoint)
-            self._note_suspect(job, outcome, placed, alone)
+            self._report_crash(job, outcome, target, alone)
             tried.append(endpoint.name)
-            last = _select_result(last, Dispatched(outcome=outcome, placed=placed))
+            last = _select_result(last, DispatchResult(outcome=outcome, target=target))
             if not self._may_retry(job, outcome, channel, len(tried)):
                 return last
             self._meter.note_retry()
 
     def _find_refusal(
-        self, job: Job, endpoint: EndpointRecord | CallerError, standing: object
+        self, job: Job, endpoint: EndpointRecord | CallerError, verdict: object
     ) -> CallerError | None:
-        """Return why no attempt is sent now, if none is."""
+        """Return why no attempt may be sent now, or None."""
         if self._is_withdrawn(job):
             return refuse_withdrawn()
-        found = (one for one in (endpoint, standing) if isinstance(one, CallerError))
+        found = (each for each in (endpoint, verdict) if isinstance(each, CallerError))
         return next(found, None)
 
     def _is_withdrawn(self, job: Job) -> bool:
-        """Tell whether a job's version was withdrawn since the job was made."""
+        """Return whether the job's version was withdrawn after its creation."""
         current = self._find_snapshot()
         return bool(job.version) and not current.is_active(version=job.version)
 
-    def _place(self, endpoint: EndpointRecord) -> Placed:
-        return Placed(
+    def _make_target(self, endpoint: EndpointRecord) -> AttemptTarget:
+        return AttemptTarget(
             attempt=self._identity.make_attempt(),
             endpoint=endpoint.name,
             agent=endpoint.agent,
@@ -151,41 +151,41 @@
     def _start(
         self,
         job: Job,
-        placed: Placed,
+        target: AttemptTarget,
         sink: Sink | None,
-        keeps: bool,
+        keeps_pieces: bool,
         alone: bool,
     ) -> Channel:
         now = self._loop.time()
         self._assert_permitted(job)
         channel = Channel(
-            attempt=placed.attempt,
-            endpoint=placed.endpoint,
-            agent=placed.agent,
-            address=placed.address,
+            attempt=target.attempt,
+            endpoint=target.endpoint,
+            agent=target.agent,
+            address=target.address,
             deadline=job.deadline,
             now=now,
             post=self._post,
             sink=sink,
-            keeps=keeps,
+            keeps_pieces=keeps_pieces,
             repeatable=job.repeatable,
         )
         self._channels.add(channel)
-        start = build_start(job=job, placed=placed, now=now, alone=alone)
-        self._post(placed.address, start)
+        start = build_start(job=job, target=target, now=now, alone=alone)
+        self._post(target.address, start)
         if alone:
             self._suspects.begin_trial(fingerprint=job.fingerprint)
         return channel
 
-    def _note_suspect(
-        self, job: Job, outcome: Outcome, placed: Placed, alone: bool
+    def _report_crash(
+        self, job: Job, outcome: Outcome, target: AttemptTarget, alone: bool
     ) -> None:
-        """Heed a crash at once; the agent's own report may come later."""
+        """Report a crash now, because the agent's own report may arrive later."""
         match outcome:
             case AttemptFailed(finish=Finish.ENGINE_CRASHED):
                 self._suspects.take_crash(
                     Crash(
-                        endpoint=placed.endpoint,
+                        endpoint=target.endpoint,
                         fingerprints=(job.fingerprint,),
                         alone=alone,
                     )
@@ -217,7 +217,7 @@
         finally:
             self._channels.remove(channel)
             if outcome is None:
-                # The caller went away: nobody waits for the answer.
+                # The caller has disconnected, so nobody waits for the answer.
                 channel.cancel(self._loop.time())
             self._picker.note_end(
                 endpoint=endpoint,
@@ -237,15 +237,15 @@
             case NeverStarted(refusal=refusal):
                 if refusal in FINAL_REFUSALS:
                     return False
-                standing = Standing.NOT_STARTED
+                kind = RetryOutcome.NOT_STARTED
             case AttemptFailed(finish=Finish.DEADLINE | Finish.CANCELLED):
                 return False
             case AttemptFailed():
-                standing = Standing.FAILED
+                kind = RetryOutcome.FAILED
             case OutcomeUnknown():
-                standing = Standing.UNKNOWN
+                kind = RetryOutcome.UNKNOWN
         verdict = self._budget.judge(
-            outcome=standing,
+            outcome=kind,
             repeatable=job.repeatable,
             first_byte_sent=channel.has_delivered,
             tries=tries,
@@ -256,22 +256,22 @@
             case Retry():
                 return True
             case GiveUp(reason=reason):
-                log.debug("dispatcher: {} given up: {}", channel.attempt, reason)
+                log.debug("dispatcher: no retry after {}: {}", channel.attempt, reason)
                 return False
 
 
-# Refusals that another endpoint would give as well.
+# Refusals that any other endpoint would repeat.
 FINAL_REFUSALS = frozenset(
     {Refusal.WITHDRAWN, Refusal.QUARANTINED, Refusal.DEADLINE, Refusal.CANCELLED}
 )
 
 
-def _select_result(last: Dispatched | None, new: Dispatched) -> Dispatched:
-    """Return which of two attempts' ends is true of the whole step.
+def _select_result(last: DispatchResult | None, new: DispatchResult) -> DispatchResult:
+    """Return which of two attempts' results holds for the whole step.
 
-    An attempt that failed is followed by another one, and that one may be
-    refused.  Its "not run" is true of itself only: the caller would be told
-    so of a request that has run, which shows at the engines' logs.
+    If an attempt fails after its start and its retry is refused, the refusal
+    says "not run" of the retry only.  The caller must not be told this of the
+    request, which has run and appears in the engine's log.
     """
     is_refused = isinstance(new.outcome, NeverStarted)
     if is_refused and last is not None and not isinstance(last.outcome, NeverStarted):
@@ -279,8 +279,8 @@
     return new
 
 
-def _has_run(end: Dispatched | CallerError) -> bool:
-    """Tell whether a step has run, or may have."""
-    if isinstance(end, CallerError):
-        return end.run is not Run.NOT_RUN
-    return not isinstance(end.outcome, NeverStarted)
+def _has_run(result: DispatchResult | CallerError) -> bool:
+    """Return whether a step has run or may have run."""
+    if isinstance(result, CallerError):
+        return result.run is not Run.NOT_RUN
+    return not isinstance(result.outcome, NeverStarted)
--- a/eelgrassrack/entry/entry.py
+++ b/eelgrassrack/entry/entry.py
@@ -1,4 +1,4 @@
-"""The parts of an entry, wired and supervised."""
+"""The entry daemon: creates its parts, runs their background tasks and stops it."""
 
 import asyncio
 import math
@@ -37,31 +37,32 @@
 from .peers import Peers
 from .refusals import STOPPING
 from .serving import Serving
-from .suspects import Suspects
+from .suspects import SuspectRequests
 
 log = logbook.Logger("entry")
 
 TICK_SECONDS = 0.05
-BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 1.0
 
-# A flush is two writes, and the object API takes several hundred a second
-# from all entries together.  Agents keep the bills meanwhile.
+# A flush is two writes, and the object API accepts several hundred a second from
+# all entries together.  Agents keep the bills in the meantime.
 FLUSH_SECONDS = 5.0
 DRAIN_POLL_SECONDS = 0.05
 
-# After the grace: the time of the agents' last words, and that of answers to
-# reach their callers.
-LAST_SECONDS = 1.0
+# After the grace period, time for the last messages from agents and for responses
+# to reach their callers.
+AFTER_GRACE_SECONDS = 1.0
 
-# In so many passes of the loop what has been read of a request is seen.
-LAST_LOOKS = 3
+# After this many iterations of the event loop the handlers have seen all requests
+# that were read.
+FINAL_READ_PASSES = 3
 
-# The largest body that is read before the document's own limit is known.
-MOST_BODY_BYTES = 3_500_000
+# Largest body that is read, because the document's limit may not be known yet.
+MAX_BODY_BYTES = 3_500_000
 
 
 class EntryDaemon:
-    """One entry: HTTP towards callers, messages towards agents."""
+    """An entry, which serves callers over HTTP and sends messages to agents."""
 
     __slots__ = (
         "_heartbeat_at",
@@ -124,17 +125,17 @@
 
     @property
     def address(self) -> str:
-        """Return the mailbox's address, with its port once started."""
+        """Return the mailbox's address; its port is set once started."""
         return self._mailbox.address
 
     @property
     def incarnation(self) -> str:
-        """Return the name of this start of the entry."""
+        """Return the incarnation, which identifies this start of the entry."""
         return self._mailbox.incarnation
 
     @property
     def url(self) -> str:
-        """Return where callers reach this entry."""
+        """Return the base URL for callers."""
         host = self._settings.listen.rpartition(":")[0]
         return f"http://{host}:{self.port}"
 
@@ -148,7 +149,7 @@
             directory=self.directory,
             post=self._post,
         )
-        self._suspects = Suspects(clock=clock, spread=self._spread)
+        self._suspects = SuspectRequests(clock=clock, spread=self._spread_quarantined)
         self._configuration = Configuration(
             head=DocumentHead(store=self._store),
             invariants=self.invariants,
@@ -195,7 +196,10 @@
         )
 
     async def start(self) -> None:
-        """Listen to callers and peers and begin to follow the platform."""
+        """Start listening, and start the background tasks.
+
+        Raises `EntryError` if the port can't be bound.
+        """
         self._mailbox.open()
         self._listen()
         self._supervisor.start(name="ticks", job=self._keep_ticking)
@@ -206,78 +210,80 @@
         log.info("entry: {} serves callers on {}", self.incarnation, self.url)
 
     async def stop(self) -> None:
-        """Drain: fail readiness, serve on, end what runs, flush, close.
+        """Drain: fail readiness, finish requests, flush bills and close.
 
-        The balancer follows readiness with a lag, so the entry serves for
-        `lag_seconds` more.  What isn't answered after `grace_seconds` is
-        withdrawn, and its caller told what is known of it.
+        The load balancer reacts to the failed readiness check with a delay, so
+        the entry takes requests for another `lag_seconds`.  Requests that aren't
+        answered after `grace_seconds` are cancelled, and their callers are told
+        what is known about the outcome.
         """
         self.core.is_draining = True
-        self._end_by(self._loop.time() + self._settings.grace_seconds)
+        self._set_end(self._loop.time() + self._settings.grace_seconds)
         self._peers.leaving = True
         self._send_heartbeats()
         began = self._loop.time()
         while not self._may_close(self._loop.time() - began):
             await asyncio.sleep(DRAIN_POLL_SECONDS)
-        await self._shut_door()
+        await self._end_requests()
         await self.billing.flush(now=self._loop.time())
-        self._report_rest()
+        self._log_unwritten_bills()
         await self._serving.sweeper.stop()
         await self._close()
 
-    async def _shut_door(self) -> None:
-        """Take no more requests and end those that came."""
+    async def _end_requests(self) -> None:
+        """Stop listening, finish or answer all requests and close connections."""
         self.core.is_closing = True
         if self._server is None:
             return
         await stop_listening(self._server, self._listeners)
-        await self._wait_idle(LAST_SECONDS)
-        self.core.end_rest()
-        await self._wait_idle(2 * LAST_SECONDS)
-        self._report_cut()
+        await self._wait_idle(AFTER_GRACE_SECONDS)
+        self.core.end_all()
+        await self._wait_idle(2 * AFTER_GRACE_SECONDS)
+        self._report_cut_requests()
         await self._dismiss_callers()
         await self._server.close_all_connections()
 
     async def _dismiss_callers(self) -> None:
-        """Tell callers without a request here that nothing more is taken."""
-        for _ in range(LAST_LOOKS):
+        """Tell callers with an idle connection that no request will be read."""
+        for _ in range(FINAL_READ_PASSES):
             busy = self.core.list_streams()
             for connection in tuple(self._server._connections):
                 stream = connection.stream
-                # A head that was read and that nobody has seen yet is a request.
+                # A connection that isn't reading has received the headers of a request
+                # that no handler has seen yet.
                 if stream.reading() and stream not in busy:
                     self.core.lingering.dismiss(stream, NOT_READ)
             await asyncio.sleep(0)
-        await self.core.lingering.wait_closed(self._loop.time() + LAST_SECONDS)
+        await self.core.lingering.wait_closed(self._loop.time() + AFTER_GRACE_SECONDS)
 
     async def _wait_idle(self, extra: float) -> None:
-        """Wait until no request is under way, or until so long after the end."""
+        """Wait until no request is open, at most `extra` seconds after the end."""
         while not self.core.is_idle and self._loop.time() < self._ends_at + extra:
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
-    def _end_by(self, time: float) -> None:
+    def _set_end(self, time: float) -> None:
         self._ends_at = time
-        self._serving.end_by(time)
+        self._serving.set_end(time)
 
     async def kill(self) -> None:
-        """Close at once, as a crash would; for tests and the demo."""
+        """Close at once, as after a crash; for tests and the demo."""
         if self._server is not None:
             self._server.stop()
             await self._server.close_all_connections()
         await self._close()
 
     async def wait_failed(self) -> None:
-        """Wait until a part has failed too often; raise `SupervisorError`."""
+        """Wait until a task has failed too often, then raise `SupervisorError`."""
         await self._supervisor.wait_failed()
 
     def hurry(self) -> None:
-        """End a stop that is under way at once."""
+        """Skip the rest of the grace period of a stop."""
         self._hurry.set()
-        self._end_by(self._loop.time())
+        self._set_end(self._loop.time())
 
-    def deliver(self, parcel: Parcel) -> None:
-        """Take what an agent or another entry sent."""
-        self._inbox.deliver(parcel)
+    def deliver(self, batch: Parcel) -> None:
+        """Process a batch of messages from an agent or another entry."""
+        self._inbox.deliver(batch)
 
     def _post(self, to: str, message: AnyMessage) -> None:
         self._mailbox.post(to=to, message=message)
@@ -285,7 +291,7 @@
     def _lose_agent(self, agent: str, reason: str) -> None:
         self.channels.lose_agent(agent=agent, reason=reason)
 
-    def _spread(self, fingerprints: tuple[str, ...]) -> None:
+    def _spread_quarantined(self, fingerprints: tuple[str, ...]) -> None:
         self._peers.spread(fingerprints=fingerprints)
 
     def _announce(self, snapshot: Snapshot) -> None:
@@ -309,7 +315,7 @@
         self.port = self._listeners[0].getsockname()[1]
         self._server = HTTPServer(
             build_application(core=self.core),
-            max_body_size=MOST_BODY_BYTES,
+            max_body_size=MAX_BODY_BYTES,
             idle_connection_timeout=300,
         )
         self._server.add_sockets(self._listeners)
@@ -321,15 +327,15 @@
     def _tick(self) -> None:
         now = self._loop.time()
         self._configuration.tick()
-        self.channels.watch(now)
-        if now - self._heartbeat_at < BEAT_SECONDS:
+        self.channels.check_timeouts(now)
+        if now - self._heartbeat_at < HEARTBEAT_SECONDS:
             return
         self.directory.drop_silent(now)
         self._mailbox.forget_idle()
         self._send_heartbeats()
-        self._measure()
+        self._report_metrics()
 
-    def _measure(self) -> None:
+    def _report_metrics(self) -> None:
         self._meter.report(
             open_requests=self.core.open_requests,
             revision=self._configuration.snapshot.revision,
@@ -348,7 +354,7 @@
             await self.billing.flush(now=self._loop.time())
 
     async def _wait_flush(self) -> None:
-        """Wait for the next flush; a draining entry doesn't wait long."""
+        """Wait until the next flush is due, or only briefly while draining."""
         due = self._loop.time() + FLUSH_SECONDS
         while self._loop.time() < due and not self.core.is_draining:
             await asyncio.sleep(min(TICK_SECONDS, FLUSH_SECONDS))
@@ -368,17 +374,20 @@
         is_done = self.core.is_idle and not self.billing.waiting
         return is_done and waited >= self._settings.lag_seconds
 
-    def _report_cut(self) -> None:
+    def _report_cut_requests(self) -> None:
         cut = self.core.open_requests + self._meter.count_failed(STOPPING)
         if cut:
-            log.error("entry: {} requests cut at the stop", cut)
-        # A stop that was hurried isn't a planned one any more.
+            log.error("entry: {} requests were cut off by the stop", cut)
+        # The promise covers planned stops, and a hurried one isn't planned.
         kept = self._hurry.is_set() or (not cut and self.core.is_idle)
         self.invariants.check(Promise.GRACEFUL_STOP, kept, f"{cut} cut")
 
-    def _report_rest(self) -> None:
+    def _log_unwritten_bills(self) -> None:
         if self.billing.waiting:
-            log.error("entry: {} bills left to the agents", self.billing.waiting)
+            log.error(
+                "entry: {} bills not written, their agents keep them",
+                self.billing.waiting,
+            )
 
     async def _close(self) -> None:
         await self._supervisor.stop()
--- a/eelgrassrack/entry/errors.py
+++ b/eelgrassrack/entry/errors.py
@@ -4,4 +4,4 @@
 
 
 class EntryError(EelgrassrackError):
-    """The entry can't go on."""
+    """The entry daemon can't run."""
--- a/eelgrassrack/entry/handlers.py
+++ b/eelgrassrack/entry/handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of the requests that are routed: chats and plain services."""
+"""HTTP handlers of chats and requests for plain services."""
 
 import asyncio
 
@@ -16,14 +16,14 @@
         """Answer a chat request."""
         if self.refused:
             return
-        await self.core.wait_sure()
-        entered = self._enter()
-        if isinstance(entered, CallerError):
-            self._send_error(entered)
+        await self.core.wait_confirmed()
+        caller = self._identify_caller()
+        if isinstance(caller, CallerError):
+            self._send_error(caller)
             return
-        organisation, terms = entered.organisation, entered.terms
+        organisation, options = caller.organisation, caller.options
         arrival = read_chat(
-            body=b"".join(self.chunks), terms=terms, organisation=organisation
+            body=b"".join(self.chunks), options=options, organisation=organisation
         )
         if isinstance(arrival, CallerError):
             self._send_error(arrival)
@@ -46,15 +46,15 @@
 
     kind = "service"
 
-    async def _pass_on(self, name: str, path: str) -> None:
+    async def _forward(self, name: str, path: str) -> None:
         if self.refused:
             return
-        await self.core.wait_sure()
-        entered = self._enter()
-        if isinstance(entered, CallerError):
-            self._send_error(entered)
+        await self.core.wait_confirmed()
+        caller = self._identify_caller()
+        if isinstance(caller, CallerError):
+            self._send_error(caller)
             return
-        organisation, terms = entered.organisation, entered.terms
+        organisation, options = caller.organisation, caller.options
         snapshot = self.core.snapshot
         service = snapshot.services.get(name)
         if service is None:
@@ -70,7 +70,7 @@
             path=f"/{path}{query}",
             sent=dict(self.request.headers.get_all()),
             body=b"".join(self.chunks),
-            terms=terms,
+            options=options,
             organisation=organisation,
         )
         await self._run(self._answer(arrival, organisation, snapshot))
@@ -87,8 +87,8 @@
         if arrival.repeatable:
             await work
             return
-        # What may not be repeated goes on when its caller goes away, so
-        # that the resend that follows finds an outcome and not a cut run.
-        await asyncio.shield(self.core.keep(work))
+        # A request that isn't repeatable goes on when its caller disconnects, so
+        # that a resend finds an outcome instead of a cancelled run.
+        await asyncio.shield(self.core.run_detached(work))
 
-    get = post = put = delete = patch = head = options = _pass_on
+    get = post = put = delete = patch = head = options = _forward
--- a/eelgrassrack/entry/headers.py
+++ b/eelgrassrack/entry/headers.py
@@ -1,4 +1,4 @@
-"""Names of the HTTP headers that callers send and get."""
+"""Names of the HTTP headers in requests and responses."""
 
 import enum
 
@@ -20,15 +20,15 @@
 
 
 class Run(enum.Enum):
-    """Whether a request was run, as the response says it."""
+    """Whether a request was run, as stated in the response."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
     UNKNOWN = "unknown"
 
 
-# Headers of one hop, and those that only the router may set or read.
-# They aren't passed to the endpoint or back to the caller.
+# Hop-by-hop headers, and headers that only the router may set or read.  They are
+# neither forwarded to the endpoint nor returned to the caller.
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -51,7 +51,7 @@
 OWN_PREFIX = "eelgrassrack-"
 
 
-def is_passed_on(name: str) -> bool:
-    """Tell whether a header goes on from one side to the other."""
+def is_forwarded(name: str) -> bool:
+    """Return whether a header is forwarded between caller and endpoint."""
     lowered = name.lower()
     return lowered not in HOP_HEADERS and not lowered.startswith(OWN_PREFIX)
--- a/eelgrassrack/entry/idempotency.py
+++ b/eelgrassrack/entry/idempotency.py
@@ -1,9 +1,9 @@
-"""Requests that may not be repeated: at most one run for each key.
+"""Runs requests that aren't repeatable at most once per idempotency key.
 
-A claim in the object API stands before the first dispatch.  A resend that
-finds it gets the first's answer, waits for it, or is told that the
-outcome is unknown; it is run only after the agent that was given the first
-vowed never to start it.
+A claim is written to the object API before the first dispatch.  A resend that
+finds the claim gets the answer of the first run, waits for it, or is told that
+the outcome is unknown.  It runs only after the agent of the first run has
+guaranteed with a tombstone that it will never start that one.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 from .directory import Directory
 from .dispatcher import Dispatcher
 from .headers import Run
-from .jobs import Dispatched, Job
+from .jobs import DispatchResult, Job
 from .observers import AttemptObserver
 from .outcomes import judge_outcome
 from .refusals import CallerError, report_unknown
@@ -35,31 +35,32 @@
 
 Post = Callable[[str, object], None]
 
-# The store may be away for long.  An outcome that isn't put on record is lost
-# once the agent has forgotten the answer, and resends are told "unknown".
-# With these it is tried for half an hour.
-FINISH_TRIES = 200
-FIRST_DELAY = 0.5
-LONGEST_DELAY = 10.0
+# The store may be unavailable for long.  An outcome that isn't recorded is lost once
+# the agent has discarded the answer, and resends are then told "unknown".  These
+# retries continue for half an hour.
+RECORD_TRIES = 200
+FIRST_DELAY_SECONDS = 0.5
+MAX_DELAY_SECONDS = 10.0
 
-# An entry that stops waits so long for the outcomes that it still records.
+# A stopping entry waits this long for the outcomes that it is still recording.
 STOP_SECONDS = 5.0
 
-# Rounds against other entries that run resends of the same request.
-MOST_ROUNDS = 8
+# Limit on tries to take over the claim while other entries do so for resends of the
+# same request.
+MAX_ROUNDS = 8
 
 CONFLICT = 409
 UNPROCESSABLE = 422
 
 
-class Free(msgspec.Struct, kw_only=True, frozen=True):
-    """The attempt of a claim can't start any more."""
+class ClaimAvailable(msgspec.Struct, kw_only=True, frozen=True):
+    """A claim that may be taken over, because its attempt never starts."""
 
-    held: ExistingClaim
+    existing: ExistingClaim
 
 
 class IdempotentRunner:
-    """Run a request at most once for each idempotency key."""
+    """Runs a request at most once per idempotency key."""
 
     __slots__ = (
         "_channels",
@@ -94,27 +95,25 @@
     async def run(
         self, *, job: Job, operation: str, key: str
     ) -> Completed | CallerError:
-        """Run the job unless its key has been run, and return the outcome."""
+        """Run the job unless its key was used; return the answer or an error."""
         name = make_claim_name(
             organisation=job.organisation, operation=operation, key=key
         )
         request_claim = RequestClaim(
             claims=self._claims, name=name, entry=self._entry, job=job
         )
-        for _ in range(MOST_ROUNDS):
-            dispatched = await self._dispatcher.run(
-                job=job, reserve=request_claim.reserve
-            )
-            if request_claim.held is None:
-                return await self._end(request_claim, dispatched)
+        for _ in range(MAX_ROUNDS):
+            result = await self._dispatcher.run(job=job, reserve=request_claim.reserve)
+            if request_claim.existing is None:
+                return await self._end(request_claim, result)
             verdict = await self._answer_resend(job, request_claim)
-            if not isinstance(verdict, Free):
+            if not isinstance(verdict, ClaimAvailable):
                 return verdict
-            request_claim.free(verdict.held)
+            request_claim.allow_takeover(verdict.existing)
         return _report_in_progress()
 
     async def stop(self) -> None:
-        """Wait a little for the outcomes that are being recorded."""
+        """Wait up to `STOP_SECONDS` for outcomes that are being recorded."""
         if not self._finishing:
             return
         _, late = await asyncio.wait(self._finishing, timeout=STOP_SECONDS)
@@ -123,63 +122,66 @@
         await asyncio.gather(*late, return_exceptions=True)
 
     async def _end(
-        self, request_claim: RequestClaim, dispatched: Dispatched | CallerError
+        self, request_claim: RequestClaim, result: DispatchResult | CallerError
     ) -> Completed | CallerError:
-        never_ran = isinstance(dispatched, CallerError) or isinstance(
-            dispatched.outcome, NeverStarted
+        never_ran = isinstance(result, CallerError) or isinstance(
+            result.outcome, NeverStarted
         )
         if never_ran:
             if request_claim.claim is not None:
                 await request_claim.release()
-            return judge_outcome(dispatched)
-        await self._record(request_claim, dispatched.outcome)
-        return _judge(dispatched.outcome)
+            return judge_outcome(result)
+        await self._record(request_claim, result.outcome)
+        return _judge(result.outcome)
 
     async def _record(self, request_claim: RequestClaim, outcome: Outcome) -> None:
-        """Put an outcome on record; if the store is away, go on behind."""
-        result = await _finish(request_claim, outcome)
+        """Record an outcome, with retries in the background if that fails."""
+        result = await _write_outcome(request_claim, outcome)
         if not isinstance(result, ClaimUnavailable):
             return
-        # The caller gets its answer now.  Until the record stands, a
+        # The caller gets its answer now.  Until the outcome is recorded, a
         # resend learns from the agent that the attempt has started.
-        task = asyncio.create_task(_keep_finishing(request_claim, outcome))
+        task = asyncio.create_task(_retry_recording(request_claim, outcome))
         self._finishing.add(task)
         task.add_done_callback(self._finishing.discard)
 
     async def _answer_resend(
         self, job: Job, request_claim: RequestClaim
-    ) -> Completed | CallerError | Free:
-        held = request_claim.held
+    ) -> Completed | CallerError | ClaimAvailable:
+        existing = request_claim.existing
         if not request_claim.is_same_request:
             return _refuse_reuse()
-        match held.claim.state:
-            case ClaimState.DONE if held.claim.answer_kept:
-                return _read_answer(held)
+        match existing.claim.state:
+            case ClaimState.DONE if existing.claim.answer_kept:
+                return _read_answer(existing)
             case ClaimState.DONE:
                 return _report_not_kept()
             case ClaimState.RELEASED:
-                return Free(held=held)
-        outcome = await self._follow(job, held)
+                return ClaimAvailable(existing=existing)
+        outcome = await self._follow(job, existing)
         match outcome:
             case NeverStarted():
-                return Free(held=held)
+                return ClaimAvailable(existing=existing)
             case Completed():
-                request_claim.adopt(held)
+                request_claim.adopt(existing)
                 await self._record(request_claim, outcome)
         return _judge(outcome)
 
-    async def _follow(self, job: Job, held: ExistingClaim) -> Outcome:
-        """Learn from the agent what became of another entry's attempt."""
-        claim = held.claim
-        own = self._channels.find(claim.attempt)
-        if own is not None:
-            return await self._wait(own.outcome, job)
+    async def _follow(self, job: Job, existing: ExistingClaim) -> Outcome:
+        """Return the outcome of the attempt that an existing claim names.
+
+        If another entry dispatched it, the outcome comes from the agent.
+        """
+        claim = existing.claim
+        channel = self._channels.find(claim.attempt)
+        if channel is not None:
+            return await self._wait(channel.outcome, job)
         endpoint = self._directory.find(claim.endpoint)
         if endpoint is None or endpoint.agent != claim.agent:
-            # The only process that knew is gone.  To run the request again
-            # could run it twice, so the caller is told the truth.
+            # The only process that knew the outcome is gone.  A second run could
+            # repeat the request's effect, so the outcome is reported as unknown.
             return OutcomeUnknown(reason="the outcome of the first run is unknown")
-        follower = AttemptObserver(
+        observer = AttemptObserver(
             attempt=claim.attempt,
             endpoint=claim.endpoint,
             agent=claim.agent,
@@ -188,23 +190,23 @@
             now=self._loop.time(),
             post=self._post,
         )
-        self._channels.add(follower)
-        follower.ask(self._loop.time())
+        self._channels.add(observer)
+        observer.ask(self._loop.time())
         try:
-            return await follower.outcome
+            return await observer.outcome
         finally:
-            self._channels.remove(follower)
+            self._channels.remove(observer)
 
     async def _wait(self, outcome: asyncio.Future[Outcome], job: Job) -> Outcome:
-        left = max(job.deadline - self._loop.time(), 0)
+        remaining = max(job.deadline - self._loop.time(), 0)
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(remaining):
                 return await asyncio.shield(outcome)
         except TimeoutError:
             return OutcomeUnknown(reason="the first run has not ended")
 
 
-async def _finish(request_claim: RequestClaim, outcome: Outcome) -> object:
+async def _write_outcome(request_claim: RequestClaim, outcome: Outcome) -> object:
     match outcome:
         case Completed(status=status, headers=fields, pieces=pieces):
             return await request_claim.finish(
@@ -213,30 +215,32 @@
                 fields=fields,
                 answer=b"".join(pieces),
             )
-    # A connection that broke tells nothing of what the service did.
+    # A broken connection doesn't show what the service did.
     return await request_claim.finish(state=ClaimState.UNKNOWN)
 
 
-async def _keep_finishing(request_claim: RequestClaim, outcome: Outcome) -> None:
-    delay = FIRST_DELAY
-    for _ in range(FINISH_TRIES):
+async def _retry_recording(request_claim: RequestClaim, outcome: Outcome) -> None:
+    delay = FIRST_DELAY_SECONDS
+    for _ in range(RECORD_TRIES):
         await asyncio.sleep(delay)
-        delay = min(delay * 2, LONGEST_DELAY)
-        result = await _finish(request_claim, outcome)
+        delay = min(delay * 2, MAX_DELAY_SECONDS)
+        result = await _write_outcome(request_claim, outcome)
         if not isinstance(result, ClaimUnavailable):
             return
-    log.warning("once: the outcome of {} is not on record", request_claim.claim.attempt)
+    log.warning(
+        "once: the outcome of {} couldn't be recorded", request_claim.claim.attempt
+    )
 
 
 def _judge(outcome: Outcome) -> Completed | CallerError:
-    """Return the answer; without one nobody knows what the service did."""
+    """Return the answer, or that the outcome is unknown if there is none."""
     if isinstance(outcome, AttemptFailed):
         return report_unknown(reason=outcome.reason)
-    return judge_outcome(Dispatched(outcome=outcome))
+    return judge_outcome(DispatchResult(outcome=outcome))
 
 
-def _read_answer(held: ExistingClaim) -> Completed:
-    claim = held.claim
+def _read_answer(existing: ExistingClaim) -> Completed:
+    claim = existing.claim
     return Completed(
         attempt=claim.attempt,
         pieces=(claim.answer,),
--- a/eelgrassrack/entry/identity.py
+++ b/eelgrassrack/entry/identity.py
@@ -1,13 +1,13 @@
-"""Names of requests and attempts."""
+"""Ids of requests and attempts."""
 
 import itertools
 
 
 class Identity:
-    """Make ids that are never used twice.
+    """Generates unique ids.
 
-    They hold the incarnation, so that two entries, or two starts of one,
-    can't make the same.
+    They contain the incarnation, so that the ids of two entries, or of two
+    starts of the same entry, differ.
     """
 
     __slots__ = ("_attempts", "_requests", "incarnation")
--- a/eelgrassrack/entry/jobs.py
+++ b/eelgrassrack/entry/jobs.py
@@ -1,4 +1,4 @@
-"""One step of a request, ready to be sent, and how it ended."""
+"""A step of a request as dispatched to an agent, and its result."""
 
 from collections.abc import Awaitable, Callable
 
@@ -6,16 +6,16 @@
 
 from ..document.snapshot import Snapshot
 from ..mailbox.messages import Start
-from .channels import LAST_WORD, Outcome
+from .channels import CANCEL_REPLY_SECONDS, Outcome
 from .refusals import CallerError
 
 
 class Job(msgspec.Struct, kw_only=True, frozen=True):
-    """One step of a request, ready to be sent.
+    """One step of a request, ready to be dispatched.
 
-    `deadline` is a point in the loop's time.  `ledger` is the same for all
-    attempts of a request: two at one step are told apart from two bills
-    only where both stand in one ledger.
+    `deadline` is in the time of the event loop.  `ledger` is the same for all
+    attempts of a request, because the bills of two attempts at one step are
+    recognised as duplicates only within one ledger.
     """
 
     request: str
@@ -38,8 +38,8 @@
     body: bytes = b""
 
 
-class Placed(msgspec.Struct, kw_only=True, frozen=True):
-    """An attempt that is about to be sent."""
+class AttemptTarget(msgspec.Struct, kw_only=True, frozen=True):
+    """An attempt's id, and the endpoint and agent that it is sent to."""
 
     attempt: str
     endpoint: str
@@ -47,27 +47,27 @@
     address: str
 
 
-Reserve = Callable[[Placed], Awaitable[CallerError | None]]
+Reserve = Callable[[AttemptTarget], Awaitable[CallerError | None]]
 
 
-class Dispatched(msgspec.Struct, kw_only=True, frozen=True):
-    """How a step ended, and where its last attempt went."""
+class DispatchResult(msgspec.Struct, kw_only=True, frozen=True):
+    """The outcome of a step, and the target of the attempt that had it."""
 
     outcome: Outcome
-    placed: Placed | None = None
+    target: AttemptTarget | None = None
 
 
-def build_start(*, job: Job, placed: Placed, now: float, alone: bool) -> Start:
+def build_start(*, job: Job, target: AttemptTarget, now: float, alone: bool) -> Start:
     """Return the message that asks an agent to run an attempt.
 
-    The agent is given the time until this entry withdraws the attempt, not
-    until the caller's deadline.  Else it starts what can end before the one
-    but not before the other, and callers get their answers cut.
+    The agent's deadline is when this entry would cancel the attempt, which is
+    before the caller's deadline.  Otherwise the agent would start attempts
+    that are then cancelled before they can end.
     """
     return Start(
-        attempt=placed.attempt,
+        attempt=target.attempt,
         request=job.request,
-        agent=placed.agent,
+        agent=target.agent,
         organisation=job.organisation,
         revision=job.snapshot.revision,
         ledger=job.ledger,
@@ -76,7 +76,7 @@
         service=job.service,
         priority=job.priority,
         tokens=job.tokens,
-        within=job.deadline - LAST_WORD - now,
+        within=job.deadline - CANCEL_REPLY_SECONDS - now,
         stream=job.stream,
         alone=alone,
         repeatable=job.repeatable,
--- a/eelgrassrack/entry/meter.py
+++ b/eelgrassrack/entry/meter.py
@@ -1,4 +1,4 @@
-"""What an entry counts: for statsd, and for its own status."""
+"""Counters and timers of an entry, for statsd and its status page."""
 
 import collections
 
@@ -27,7 +27,7 @@
 
 
 class Meter:
-    """Count what happens to requests."""
+    """Counts the events of an entry and sends them to statsd."""
 
     __slots__ = ("_broken", "_metrics", "_restarts", "counts")
 
@@ -43,14 +43,17 @@
         self._metrics.count(REQUESTS)
 
     def note_answer(self, *, seconds: float, first: float) -> None:
-        """Count a whole answer and its times in seconds."""
+        """Count a complete answer.
+
+        `seconds` is its duration, `first` the seconds to its first byte.
+        """
         self.counts["answered"] += 1
         self._metrics.count(ANSWERED)
         self._metrics.time(DURATION, seconds)
         self._metrics.time(FIRST_TOKEN, first)
 
     def note_error(self, error: CallerError) -> None:
-        """Count a request that got an error in place of an answer."""
+        """Count a request that was answered with an error."""
         code = error.code.partition(":")[0]
         is_refused = error.run is Run.NOT_RUN
         kind = "refused" if is_refused else "failed"
@@ -58,11 +61,11 @@
         self._metrics.count(REFUSED if is_refused else FAILED, label=code)
 
     def count_failed(self, code: str) -> int:
-        """Return how many requests that may have run got this error."""
+        """Return the number of requests that may have run and got this error."""
         return self.counts[f"failed_{code}"]
 
     def note_gone(self) -> None:
-        """Count a caller that went away."""
+        """Count a caller that disconnected."""
         self.counts["callers_gone"] += 1
 
     def note_retry(self) -> None:
@@ -71,16 +74,16 @@
         self._metrics.count(RETRIES)
 
     def note_escalation(self) -> None:
-        """Count a rung climbed for quality."""
+        """Count a step from one rung of a cascade to the next."""
         self.counts["escalations"] += 1
         self._metrics.count(ESCALATIONS)
 
     def note_bill(self, bill: Bill) -> None:
-        """Count the tokens of an ended attempt."""
+        """Count the completion tokens of an ended attempt."""
         self._metrics.count(TOKENS, bill.completion_tokens)
 
     def note_settled(self, amount: int) -> None:
-        """Count bills that are in the ledger."""
+        """Count bills that were written to the ledger."""
         self.counts["bills"] += amount
         self._metrics.count(BILLS, amount)
 
@@ -92,7 +95,7 @@
         invariants: Invariants,
         supervisor: Supervisor,
     ) -> None:
-        """Send what stands now, and what has grown since the last report."""
+        """Send the gauges, and the counts since the last report."""
         self._metrics.gauge(IN_FLIGHT, open_requests)
         self._metrics.gauge(ENTRY_REVISION, revision)
         for promise, amount in (invariants.broken - self._broken).items():
--- a/eelgrassrack/entry/observers.py
+++ b/eelgrassrack/entry/observers.py
@@ -1,34 +1,38 @@
-"""Channels to attempts that another entry dispatched."""
+"""Observers of attempts that another entry dispatched.
+
+A resend with a known idempotency key may reach an entry that didn't dispatch the
+first run; its outcome is then requested from the agent.
+"""
 
 from ..mailbox.messages import Ask, Resume
-from .channels import ASK_AFTER, GONE_AFTER, Channel, OutcomeUnknown
+from .channels import ASK_AFTER_SECONDS, GONE_AFTER_SECONDS, Channel, OutcomeUnknown
 
 
 class AttemptObserver(Channel):
-    """Learn the outcome of an attempt without any power over it."""
+    """Gets the outcome of an attempt from its agent but never cancels it."""
 
     __slots__ = ()
 
     def ask(self, now: float) -> None:
-        """Ask what became of the attempt and for its pieces.
+        """Ask for the state of the attempt, then for its pieces.
 
-        The question comes first: an agent that never saw the attempt then
-        vows never to start it.
+        The order matters: an agent that never received the attempt answers the
+        first message with a tombstone, and then never starts it.
         """
         self._asked_at = now
         self._post(self.address, Ask(attempt=self.attempt, agent=self.agent))
         self._post(self.address, Resume(attempt=self.attempt, offset=self.expected))
 
-    def watch(self, now: float) -> None:
-        """Ask again until the attempt has ended; never cancel it."""
+    def check_timeouts(self, now: float) -> None:
+        """Ask again, and give up at the deadline or if the agent is silent."""
         if self.outcome.done():
             return
         if now >= self.deadline:
             self.settle(OutcomeUnknown(reason="the first run has not ended"))
-        elif now - self.heard_at >= GONE_AFTER:
+        elif now - self.last_message_at >= GONE_AFTER_SECONDS:
             self.settle(OutcomeUnknown(reason="the agent is silent"))
-        elif self._asked_at is None or now - self._asked_at >= ASK_AFTER:
+        elif self._asked_at is None or now - self._asked_at >= ASK_AFTER_SECONDS:
             self.ask(now)
 
     def cancel(self, now: float) -> None:
-        """Do nothing: the attempt is another caller's too."""
+        """Do nothing, because the attempt belongs to another caller as well."""
--- a/eelgrassrack/entry/outcomes.py
+++ b/eelgrassrack/entry/outcomes.py
@@ -1,9 +1,9 @@
-"""What a caller is told for each way an attempt can end."""
+"""Maps the outcome of an attempt to the response for the caller."""
 
 from ..mailbox.messages import Finish, Refusal
 from .channels import AttemptFailed, Completed, NeverStarted, OutcomeUnknown
 from .headers import Run
-from .jobs import Dispatched
+from .jobs import DispatchResult
 from .refusals import (
     CallerError,
     refuse_overload,
@@ -17,19 +17,19 @@
 TIMED_OUT = 504
 
 
-def judge_outcome(dispatched: Dispatched | CallerError) -> Completed | CallerError:
-    """Return the whole answer, or what to tell the caller instead."""
-    if isinstance(dispatched, CallerError):
-        return dispatched
-    match dispatched.outcome:
-        case Completed() as whole:
-            return whole
+def judge_outcome(result: DispatchResult | CallerError) -> Completed | CallerError:
+    """Return the complete answer, or the error for the caller."""
+    if isinstance(result, CallerError):
+        return result
+    match result.outcome:
+        case Completed() as completed:
+            return completed
         case NeverStarted(refusal=refusal, retry_after=retry_after):
             return refuse_by_agent(refusal=refusal, retry_after=retry_after)
         case AttemptFailed(finish=Finish.DEADLINE | Finish.CANCELLED):
-            # The entry withdraws what runs just before its deadline, and only
-            # then, unless its caller has gone and nobody is told anything.  Told
-            # of a failed endpoint, the caller would send it again in vain.
+            # The entry cancels a running attempt only just before its deadline, or
+            # after its caller has disconnected.  If a failed endpoint were
+            # reported, the caller would retry in vain.
             return _report_late()
         case AttemptFailed(reason=reason):
             return report_broken(reason=reason)
@@ -38,7 +38,7 @@
 
 
 def refuse_by_agent(*, refusal: Refusal, retry_after: float) -> CallerError:
-    """Return what an agent's refusal means to a caller."""
+    """Return the error for the caller after an agent's refusal."""
     match refusal:
         case Refusal.QUARANTINED:
             return refuse_quarantined()
--- a/eelgrassrack/entry/peers.py
+++ b/eelgrassrack/entry/peers.py
@@ -1,9 +1,9 @@
-"""Other entries, and the agents that hear from this one.
+"""Messages to other entries, and heartbeats and facts to agents.
 
-Each entry writes to a few others, chosen by rendezvous hashing, so that
-news reaches all of them in a few hops and no entry's traffic grows with
-their number.  Agents hear a heartbeat each second from the entries that
-work with them, which keeps their load reports coming.
+Each entry sends to a few others, chosen by rendezvous hashing, so that a
+message spreads to all of them in a few hops and an entry's traffic doesn't
+grow with their number.  An agent sends load reports to the entries whose
+heartbeats it receives, which is one each second.
 """
 
 from collections.abc import Callable, Iterable
@@ -29,24 +29,24 @@
 
 Post = Callable[[str, object], None]
 
-# Eight neighbours reach 380 entries in three hops.
-NEIGHBOURS = 8
+# With eight neighbours a message reaches 380 entries in three hops.
+NEIGHBOUR_COUNT = 8
 
-# Endpoints that one entry works with.  With half of them in its own
-# domain, each of 380 entries and 11,000 endpoints is worked with by
-# several, and an entry hears this many load reports a second at most.
-SUBSET = 48
+# Endpoints that one entry sends heartbeats to.  With half of them in its own domain,
+# several of 380 entries cover each of 11,000 endpoints, and an entry receives at
+# most this many load reports a second.
+MAX_ENDPOINTS = 48
 
 
 class PoolFacts(msgspec.Struct, kw_only=True, frozen=True):
-    """What a pool's agents need, unchanged since a revision."""
+    """The facts for a pool's agents, unchanged since revision `since`."""
 
     facts: Facts
     since: int
 
 
 class Peers:
-    """Spread news and heartbeats."""
+    """Sends heartbeats, facts and quarantined requests."""
 
     __slots__ = (
         "_directory",
@@ -81,7 +81,7 @@
         )
 
     def take_listing(self, instances: Iterable[Instance]) -> None:
-        """Choose neighbours and the endpoints to work with."""
+        """Choose the neighbours and the subset of endpoints."""
         instances = tuple(instances)
         self._entries = {
             i.name: i.mailbox
@@ -92,7 +92,7 @@
             key=self.name,
             names_by_domain={"": sorted(self._entries)},
             domain="",
-            size=NEIGHBOURS,
+            size=NEIGHBOUR_COUNT,
         )
         by_pool: dict[str, dict[str, list[str]]] = {}
         for instance in instances:
@@ -104,7 +104,7 @@
                 key=self.name,
                 names_by_domain=domains,
                 domain=self._domain,
-                size=max(SUBSET // max(len(by_pool), 1), 2),
+                size=max(MAX_ENDPOINTS // max(len(by_pool), 1), 2),
             )
             for domains in by_pool.values()
         )
@@ -124,13 +124,13 @@
         )
 
     def send_heartbeats(self, presence: Presence) -> None:
-        """Send a heartbeat to the neighbours and the agents worked with."""
+        """Send a heartbeat to the neighbours and to the agents of the subset."""
         for address in self.addresses:
             self._post(address, presence)
         for endpoint in self._directory:
             if endpoint.name in self._subset or endpoint.running:
-                # An agent that came back elsewhere doesn't know this entry
-                # yet, and says nothing to it until it is greeted.
+                # An agent that restarted at another address sends nothing to this
+                # entry before it has received a heartbeat.
                 for address in {endpoint.address, endpoint.listed_address}:
                     self._post(address, presence)
 
@@ -142,15 +142,15 @@
         snapshot: Snapshot,
         quarantined: tuple,
     ) -> None:
-        """Send an agent the document's facts if it lacks this revision."""
+        """Send an agent the facts if its load report shows an older revision."""
         if load.revision >= snapshot.revision:
             return
-        held = self._find_facts(endpoint.pool, snapshot, quarantined)
-        if load.revision >= held.since:
-            kept = FactsKept(revision=snapshot.revision, since=held.since)
+        cached = self._find_facts(endpoint.pool, snapshot, quarantined)
+        if load.revision >= cached.since:
+            kept = FactsKept(revision=snapshot.revision, since=cached.since)
             self._post(endpoint.address, kept)
             return
-        self._post(endpoint.address, held.facts)
+        self._post(endpoint.address, cached.facts)
 
     def send_facts(
         self,
@@ -162,11 +162,11 @@
         """Send an agent the facts of the document in force, if there is one."""
         if not snapshot.revision:
             return
-        held = self._find_facts(endpoint.pool, snapshot, quarantined)
-        self._post(endpoint.address, held.facts)
+        cached = self._find_facts(endpoint.pool, snapshot, quarantined)
+        self._post(endpoint.address, cached.facts)
 
     def announce(self, *, snapshot: Snapshot, quarantined: tuple) -> None:
-        """Tell all agents heard of what a new revision means to them."""
+        """Send the facts of a new revision to all reporting agents."""
         for endpoint in self._directory.reporting:
             self.refresh_facts(
                 endpoint=endpoint,
@@ -180,22 +180,22 @@
     ) -> "PoolFacts":
         """Return a pool's facts and the revision since which they hold.
 
-        They are worked out once for a pool and revision.  Facts that are
-        the same as before keep their first revision, so that agents which
-        have them are told no more than that.
+        They are computed once per pool and revision.  Unchanged facts keep
+        their first revision, so that agents which have them are only told that
+        they still hold.
         """
-        held = self._facts.get(pool)
-        if held is not None and held.facts.revision == snapshot.revision:
-            return held
+        cached = self._facts.get(pool)
+        if cached is not None and cached.facts.revision == snapshot.revision:
+            return cached
         facts = build_facts(snapshot=snapshot, pool=pool, quarantined=quarantined)
         since = facts.revision
-        if held is not None and _are_equal(held.facts, facts):
-            since = held.since
+        if cached is not None and _are_equal(cached.facts, facts):
+            since = cached.since
         self._facts[pool] = PoolFacts(facts=facts, since=since)
         return self._facts[pool]
 
     def spread(self, *, fingerprints: tuple[str, ...]) -> None:
-        """Tell neighbours and agents of requests that crash endpoints."""
+        """Send quarantined requests to neighbours and agents."""
         message = Quarantined(fingerprints=fingerprints)
         for address in self.addresses:
             self._post(address, message)
@@ -214,9 +214,9 @@
 
 
 def _are_equal(before: Facts, after: Facts) -> bool:
-    """Tell whether two revisions' facts say the same.
+    """Return whether the facts of two revisions are equal.
 
-    What is quarantined is spread on its own, and doesn't count.
+    Quarantined requests are sent separately and not compared.
     """
     same = msgspec.structs.replace(
         before, revision=after.revision, quarantined=after.quarantined
--- a/eelgrassrack/entry/picker.py
+++ b/eelgrassrack/entry/picker.py
@@ -1,7 +1,8 @@
-"""Which endpoint a request is sent to, and what its end teaches.
+"""Load balancing: picks the endpoint for an attempt, and learns from its outcome.
 
-The directory says which endpoints may have the request, the ramp which
-failure domains take their share yet, and the placement picks one.
+The directory determines which endpoints can take the request, the ramp which
+failure domains are included while they return to service, and the placement
+picks one endpoint.
 """
 
 import random
@@ -11,21 +12,20 @@
 from ..decisions.placement import Candidate, NoCandidate, Placement
 from ..mailbox.messages import Finish, Refusal
 from .channels import AttemptFailed, Completed, NeverStarted, Outcome
-from .directory import Absence, Directory, EndpointRecord
+from .directory import Directory, EndpointRecord, NoEndpointReason
 from .jobs import Job
 from .refusals import CallerError, refuse_unavailable
 
-# While no endpoint can be found callers are told to come back after this
-# many seconds, half of it more or less; an agent's restart takes about as
-# long.  Were all told the same, all would come back in the same moment.
-NO_ENDPOINT_RETRY = 2.0
+# Retry-After while there is no endpoint, with a jitter of half of it, so that the
+# callers don't all retry at the same time.  An agent's restart takes about as long.
+NO_ENDPOINT_RETRY_SECONDS = 2.0
 
-# Refusals that say nothing bad of the endpoint's health.
-FAIR_REFUSALS = frozenset(Refusal) - {Refusal.ENGINE_DOWN}
+# Refusals that don't indicate an unhealthy endpoint.
+NEUTRAL_REFUSALS = frozenset(Refusal) - {Refusal.ENGINE_DOWN}
 
 
 class Picker:
-    """Pick endpoints for one entry."""
+    """Picks endpoints for the attempts of one entry."""
 
     __slots__ = ("_clock", "_directory", "_placement", "_ramp", "_rng")
 
@@ -45,18 +45,20 @@
         self._rng = rng
 
     def choose(self, *, job: Job, tried: list[str]) -> EndpointRecord | CallerError:
-        """Return an endpoint that may get the job now, or why there is none."""
+        """Return an endpoint that can take the job now, or the refusal."""
         now = self._clock()
-        found = self._directory.find_serving(
+        endpoints = self._directory.find_serving(
             snapshot=job.snapshot, version=job.version, service=job.service, now=now
         )
-        if isinstance(found, Absence):
-            return self._refuse_absent(found.value)
-        # An endpoint that was tried comes again only when it is the last.
-        fresh = [endpoint for endpoint in found if endpoint.name not in tried] or found
-        fresh = self._heed_ramp(fresh, now)
+        if isinstance(endpoints, NoEndpointReason):
+            return self._refuse_absent(endpoints.value)
+        # An endpoint that was tried is picked again only if there is no other one.
+        untried = [
+            endpoint for endpoint in endpoints if endpoint.name not in tried
+        ] or endpoints
+        untried = self._filter_ramping(untried, now)
         chosen = self._placement.choose(
-            candidates=[self._describe(endpoint, now) for endpoint in fresh],
+            candidates=[self._make_candidate(endpoint, now) for endpoint in untried],
             affinity=job.affinity or None,
             chances=(self._rng.random(), self._rng.random()),
             now=now,
@@ -67,20 +69,24 @@
 
     def _refuse_absent(self, reason: str) -> CallerError:
         spread = 0.5 + self._rng.random()
-        return refuse_unavailable(reason=reason, retry_after=NO_ENDPOINT_RETRY * spread)
+        return refuse_unavailable(
+            reason=reason, retry_after=NO_ENDPOINT_RETRY_SECONDS * spread
+        )
 
-    def _heed_ramp(
-        self, found: list[EndpointRecord], now: float
+    def _filter_ramping(
+        self, endpoints: list[EndpointRecord], now: float
     ) -> list[EndpointRecord]:
-        """Leave out what stands in a domain that takes only a share yet."""
+        """Remove endpoints in domains that the ramp excludes this time."""
         domains = self._ramp.select(
-            domains=frozenset(endpoint.domain for endpoint in found),
+            domains=frozenset(endpoint.domain for endpoint in endpoints),
             chance=self._rng.random(),
             now=now,
         )
-        return [endpoint for endpoint in found if endpoint.domain in domains] or found
+        return [
+            endpoint for endpoint in endpoints if endpoint.domain in domains
+        ] or endpoints
 
-    def _describe(self, endpoint: EndpointRecord, now: float) -> Candidate:
+    def _make_candidate(self, endpoint: EndpointRecord, now: float) -> Candidate:
         load = endpoint.load
         return Candidate(
             name=endpoint.name,
@@ -88,13 +94,13 @@
             running=load.running,
             queued=load.queued,
             window=load.window,
-            reported_age=now - endpoint.heard_at,
+            reported_age=now - endpoint.heartbeat_at,
             local=endpoint.running,
             group=endpoint.pool,
         )
 
     def note_sent(self, endpoint: EndpointRecord) -> None:
-        """Count an attempt that an endpoint is given."""
+        """Count an attempt that is sent to an endpoint."""
         endpoint.running += 1
         self._placement.note_sent(endpoint=endpoint.name)
 
@@ -106,13 +112,13 @@
         first_at: float | None,
         began: float,
     ) -> None:
-        """Learn from an attempt's end what it shows of its endpoint.
+        """Update the endpoint's statistics at the end of an attempt.
 
-        No outcome means that the caller went away.  `first_at` is when the
-        first piece came.
+        `outcome` is None if the caller disconnected.  `began` is when the
+        attempt was sent and `first_at` when its first piece arrived.
         """
         endpoint.running -= 1
-        if _says_nothing(outcome):
+        if _is_neutral(outcome):
             self._placement.note_abandoned(endpoint=endpoint.name)
             return
         now = self._clock()
@@ -124,13 +130,13 @@
         )
 
 
-def _says_nothing(outcome: Outcome | None) -> bool:
-    """Tell whether an end shows nothing of the endpoint's health."""
+def _is_neutral(outcome: Outcome | None) -> bool:
+    """Return whether an outcome shows nothing about the endpoint's health."""
     match outcome:
         case None:
             return True
         case NeverStarted(refusal=refusal):
-            return refusal in FAIR_REFUSALS
+            return refusal in NEUTRAL_REFUSALS
         case AttemptFailed(finish=Finish.CANCELLED | Finish.DEADLINE):
             return True
     return False
--- a/eelgrassrack/entry/ratings.py
+++ b/eelgrassrack/entry/ratings.py
@@ -1,8 +1,8 @@
-"""Ratings of answers, and what they teach the decisions.
+"""Ratings of answers, which the cascade and the roll-out of versions use.
 
-A cascade's answers are rated before they are delivered.  Others are
-rated after delivery, as a sample, so that a version that turned bad is
-noticed.  A rating service that is away leaves answers unrated; it never
+The answers of a cascade are rated before they are delivered.  A sample of the
+other answers is rated after delivery, to detect a version that has become
+worse.  If the rating service is unavailable, answers stay unrated; it never
 delays one for longer than its timeout.
 """
 
@@ -16,43 +16,43 @@
 from ..decisions.rollout import RolloutHealth, Sample
 from ..store.platform import NotRated, Rated, RatingClient
 from .channels import AttemptFailed, Completed, OutcomeUnknown
-from .jobs import Dispatched
+from .jobs import DispatchResult
 from .refusals import CallerError
 
 log = logbook.Logger("ratings")
 
-# Ratings under way at once; more are left out, not queued.
-MOST_SAMPLES = 32
-SAMPLE_TIMEOUT = 5.0
+# Concurrent ratings of samples; further samples are skipped, not queued.
+MAX_SAMPLES = 32
+SAMPLE_TIMEOUT_SECONDS = 5.0
 
 
 class Ratings:
-    """Ask the rating service and pass on what it says."""
+    """Requests ratings and passes them to the cascade and the roll-out health."""
 
-    __slots__ = ("_chooser", "_client", "_clock", "_health", "_rng", "_samples")
+    __slots__ = ("_planner", "_client", "_clock", "_health", "_rng", "_samples")
 
     def __init__(
         self,
         *,
         client: RatingClient | None,
-        chooser: CascadePlanner,
+        planner: CascadePlanner,
         health: RolloutHealth,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
         self._client = client
-        self._chooser = chooser
+        self._planner = planner
         self._health = health
         self._rng = rng
         self._clock = clock
         self._samples: set[asyncio.Task] = set()
 
     def wants_sample(self, *, share: float) -> bool:
-        """Tell whether an answer should be kept to be rated.
+        """Return whether an answer should be sampled for rating.
 
-        `share` is the part of its version's answers that are.
+        `share` is the fraction of its version's answers to sample.
         """
-        if self._client is None or len(self._samples) >= MOST_SAMPLES:
+        if self._client is None or len(self._samples) >= MAX_SAMPLES:
             return False
         return self._rng.random() < share
 
@@ -75,11 +75,11 @@
         now = self._clock()
         match result:
             case NotRated(reason=reason):
-                log.debug("ratings: none for {}: {}", version, reason)
-                self._chooser.note(kind=kind, rung_model=model, rating=None, now=now)
+                log.debug("ratings: no rating for {}: {}", version, reason)
+                self._planner.note(kind=kind, rung_model=model, rating=None, now=now)
                 return None
             case Rated(score=score):
-                self._chooser.note(kind=kind, rung_model=model, rating=score, now=now)
+                self._planner.note(kind=kind, rung_model=model, rating=score, now=now)
                 sample = Sample(version=version, failed=False, rating=score, seconds=0)
                 self._health.note(sample=sample, now=now)
                 return score
@@ -95,19 +95,22 @@
                 version=version,
                 prompt=prompt,
                 answer=answer,
-                timeout=SAMPLE_TIMEOUT,
+                timeout=SAMPLE_TIMEOUT_SECONDS,
             )
         )
         self._samples.add(task)
         task.add_done_callback(self._samples.discard)
 
     def note_end(
-        self, *, version: str, dispatched: Dispatched | CallerError, seconds: float
+        self, *, version: str, result: DispatchResult | CallerError, seconds: float
     ) -> None:
-        """Tell the roll-out's health how an attempt on a version ended."""
-        if isinstance(dispatched, CallerError):
+        """Report the result of a step to the roll-out health.
+
+        `seconds` is the duration of the step.
+        """
+        if isinstance(result, CallerError):
             return
-        match dispatched.outcome:
+        match result.outcome:
             case Completed():
                 failed = False
             case AttemptFailed() | OutcomeUnknown():
@@ -118,7 +121,7 @@
         self._health.note(sample=sample, now=self._clock())
 
     async def stop(self) -> None:
-        """Drop the ratings under way."""
+        """Cancel the ratings in progress."""
         for task in tuple(self._samples):
             task.cancel()
         await asyncio.gather(*self._samples, return_exceptions=True)
--- a/eelgrassrack/entry/refusals.py
+++ b/eelgrassrack/entry/refusals.py
@@ -1,8 +1,7 @@
-"""What a caller is told when its request isn't answered.
+"""The error responses for callers.
 
-The body has the shape that clients of the usual language model API
-expect.  Every refusal says whether the request was run and, where it may
-be tried again, when to come back.
+Their bodies have the format of the OpenAI-compatible API.  Every error states
+whether the request was run and, if a retry makes sense, when to retry.
 """
 
 import math
@@ -13,10 +12,10 @@
 
 
 class CallerError(msgspec.Struct, kw_only=True, frozen=True):
-    """A final answer that isn't the caller's result.
+    """An error response.
 
     `code` is stable and meant for programs, `text` for people.
-    `retry_after` is in seconds; zero means that trying again is no use.
+    `retry_after` is in seconds; zero means that a retry is useless.
     """
 
     status: int
@@ -32,7 +31,7 @@
 
 
 class ErrorDetail(msgspec.Struct, kw_only=True, frozen=True):
-    """The inner part of an error body."""
+    """The `error` object of an error body."""
 
     message: str
     type: str
@@ -42,14 +41,14 @@
 
 
 class ErrorBody(msgspec.Struct, kw_only=True, frozen=True):
-    """An error body in the shape of the usual language model API."""
+    """An error body in the format of the OpenAI-compatible API."""
 
     error: ErrorDetail
 
 
 FIRST_SERVER_STATUS = 500
 
-# The code of a request that was begun and not ended because its entry ends.
+# Error code of a request that was cancelled because the entry stops.
 STOPPING = "stopping"
 
 
@@ -63,7 +62,7 @@
 
 
 def refuse_overload(*, reason: str, retry_after: float) -> CallerError:
-    """Return the refusal of a request that there is no room for."""
+    """Return the refusal of a request that exceeds capacity or a limit."""
     return CallerError(
         status=429,
         code=reason,
@@ -73,7 +72,7 @@
 
 
 def refuse_unavailable(*, reason: str, retry_after: float = 1.0) -> CallerError:
-    """Return the refusal of a request that nothing can serve just now."""
+    """Return the refusal of a request that nothing can serve at the moment."""
     return CallerError(
         status=503,
         code=reason,
@@ -92,7 +91,7 @@
 
 
 def report_broken(*, reason: str) -> CallerError:
-    """Return the answer to a request that ran but ended without a result."""
+    """Return the error of a request that ran without a complete answer."""
     return CallerError(
         status=502,
         code=reason,
@@ -103,7 +102,7 @@
 
 
 def report_unknown(*, reason: str) -> CallerError:
-    """Return the answer to a request of which nobody knows whether it ran."""
+    """Return the error of a request that may or may not have run."""
     return CallerError(
         status=504,
         code=reason,
--- a/eelgrassrack/entry/requestclaim.py
+++ b/eelgrassrack/entry/requestclaim.py
@@ -1,4 +1,4 @@
-"""The claim of one request, kept in step with its attempts."""
+"""The idempotency claim of one request, updated with each of its attempts."""
 
 import hashlib
 import time
@@ -13,14 +13,14 @@
     ExistingClaim,
     OutcomeRecorded,
 )
-from .jobs import Job, Placed
+from .jobs import AttemptTarget, Job
 from .refusals import CallerError, refuse_unavailable
 
 
 class RequestClaim:
-    """Write the claim before each attempt and its outcome afterwards.
+    """Writes the claim before each attempt and its outcome afterwards.
 
-    `held` is set when another attempt has the claim; the request then
+    `existing` is set when another attempt has the claim; the request then
     must not be dispatched by this entry.
     """
 
@@ -28,11 +28,11 @@
         "_claims",
         "_digest",
         "_entry",
-        "_free",
+        "_available",
         "_job",
         "_version",
         "claim",
-        "held",
+        "existing",
         "name",
     )
 
@@ -40,35 +40,35 @@
         self._claims = claims
         self._digest = hashlib.sha256(job.body).hexdigest()
         self._entry = entry
-        self._free: ExistingClaim | None = None
+        self._available: ExistingClaim | None = None
         self._job = job
         self._version = 0
         self.claim: Claim | None = None
-        self.held: ExistingClaim | None = None
+        self.existing: ExistingClaim | None = None
         self.name = name
 
     @property
     def is_same_request(self) -> bool:
-        """Tell whether the claim that was found is of an equal request."""
-        return self.held.claim.body_digest == self._digest
+        """Whether the existing claim is for a request with the same body."""
+        return self.existing.claim.body_digest == self._digest
 
-    def free(self, held: ExistingClaim) -> None:
+    def allow_takeover(self, existing: ExistingClaim) -> None:
         """Let the next attempt take over a claim whose attempt can't start."""
-        self._free = held
-        self.held = None
+        self._available = existing
+        self.existing = None
         self.claim = None
 
-    async def reserve(self, placed: Placed) -> CallerError | None:
-        """Name the attempt in the claim before it is sent."""
-        claim = self._build_claim(placed)
+    async def reserve(self, target: AttemptTarget) -> CallerError | None:
+        """Write the claim for an attempt before it is sent, or refuse it."""
+        claim = self._build_claim(target)
         match await self._write(claim):
             case ClaimAcquired(version=version):
                 self.claim = claim
                 self._version = version
-                self._free = None
+                self._available = None
                 return None
-            case ExistingClaim() as held:
-                self.held = held
+            case ExistingClaim() as existing:
+                self.existing = existing
                 return refuse_unavailable(reason="claimed")
             case ClaimUnavailable(reason=reason, retry_after=retry_after):
                 return refuse_unavailable(
@@ -76,7 +76,7 @@
                 )
 
     async def release(self) -> None:
-        """Record that the attempt never started; a resend may run it."""
+        """Record that the attempt never started, so that a resend may run."""
         await self._claims.release(
             name=self.name, version=self._version, claim=self.claim
         )
@@ -89,7 +89,7 @@
         fields: tuple[tuple[str, str], ...] = (),
         answer: bytes = b"",
     ) -> OutcomeRecorded | ExistingClaim | ClaimUnavailable:
-        """Record how the attempt ended."""
+        """Record the outcome of the attempt."""
         outcome = msgspec.structs.replace(
             self.claim, state=state, status=status, headers=fields, answer=answer
         )
@@ -97,19 +97,19 @@
             name=self.name, version=self._version, claim=outcome
         )
 
-    def adopt(self, held: ExistingClaim) -> None:
-        """Record outcomes for an attempt that another entry sent."""
-        self.claim = held.claim
-        self._version = held.version
+    def adopt(self, existing: ExistingClaim) -> None:
+        """Continue a claim that another entry wrote, to record its outcome."""
+        self.claim = existing.claim
+        self._version = existing.version
 
     async def _write(
         self, claim: Claim
     ) -> ClaimAcquired | ExistingClaim | ClaimUnavailable:
-        if self._free is not None:
+        if self._available is not None:
             return await self._claims.take_over(
                 name=self.name,
-                held_version=self._free.version,
-                old_claim=self._free.claim,
+                held_version=self._available.version,
+                old_claim=self._available.claim,
                 claim=claim,
             )
         if self.claim is not None:
@@ -121,13 +121,13 @@
             )
         return await self._claims.acquire(name=self.name, claim=claim)
 
-    def _build_claim(self, placed: Placed) -> Claim:
+    def _build_claim(self, target: AttemptTarget) -> Claim:
         return Claim(
             request=self._job.request,
-            attempt=placed.attempt,
+            attempt=target.attempt,
             entry=self._entry,
-            endpoint=placed.endpoint,
-            agent=placed.agent,
+            endpoint=target.endpoint,
+            agent=target.agent,
             body_digest=self._digest,
             expires_at=time.time() + RETENTION_SECONDS,
         )
--- a/eelgrassrack/entry/responder.py
+++ b/eelgrassrack/entry/responder.py
@@ -1,4 +1,4 @@
-"""The caller's side of one HTTP request, on tornado's server."""
+"""Writes HTTP responses on Tornado's server."""
 
 import asyncio
 
@@ -13,16 +13,16 @@
 
 OK = 200
 
-# With one of these tornado doesn't add chunks of its own.
+# With one of these headers Tornado doesn't use chunked encoding.
 FRAMING_HEADERS = frozenset({"content-length", "transfer-encoding"})
 
-# A caller that takes nothing for this long is cut: its answer would fill
-# the entry's memory, and its slot is another's.
+# The connection of a caller that reads nothing for this long is closed: its answer
+# would fill the entry's memory, and another request can use its slot.
 STALL_SECONDS = 30.0
 
 
-class Held(msgspec.Struct, kw_only=True):
-    """An answer that is kept back: its head, and its body so far."""
+class BufferedAnswer(msgspec.Struct, kw_only=True):
+    """A response that is buffered until complete: head, and body so far."""
 
     status: int = 0
     fields: list[tuple[str, str]] = []
@@ -30,15 +30,17 @@
 
 
 class HttpResponder:
-    """The caller's side of one HTTP request.
+    """Writes the response to one HTTP request.
 
-    `has_begun` tells whether the caller has a part of its answer.
+    `has_begun` is true once a part of the response was sent.  `began_at` and
+    `first_at` are when the request arrived and when its response began, in the
+    time of the event loop.
     """
 
     __slots__ = (
         "_blocked_since",
         "_handler",
-        "_held",
+        "_buffered",
         "_is_chunked",
         "_loop",
         "_stream",
@@ -51,7 +53,7 @@
 
     def __init__(self, *, handler: web.RequestHandler) -> None:
         self._handler = handler
-        self._held: Held | None = None
+        self._buffered: BufferedAnswer | None = None
         self._loop = asyncio.get_running_loop()
         self._blocked_since: float | None = None
         self._is_chunked = False
@@ -64,24 +66,24 @@
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether the connection is closed."""
+        """Whether the connection is closed."""
         return self._stream.closed()
 
-    def keep_back(self) -> None:
-        """Give the caller nothing until the answer is whole.
+    def buffer_until_complete(self) -> None:
+        """Buffer the response and send it only once it is complete.
 
-        One that has begun goes on as it is.
+        This has no effect on a response that has begun.
         """
         if not self.has_begun:
-            self._held = Held()
+            self._buffered = BufferedAnswer()
 
     def begin(self, *, status: int, fields: list[tuple[str, str]]) -> None:
         """Send the status and the headers.
 
-        An answer that is kept back is forgotten for the one that begins.
+        If the response is buffered, this replaces what is in the buffer.
         """
-        if self._held is not None:
-            self._held = Held(status=status, fields=fields)
+        if self._buffered is not None:
+            self._buffered = BufferedAnswer(status=status, fields=fields)
             return
         self.has_begun = True
         if self.has_ended:
@@ -90,20 +92,20 @@
         self._handler.set_status(status)
         for name, value in fields:
             self._handler.set_header(name, value)
-        self._is_chunked = self._find_chunked(status, fields)
+        self._is_chunked = self._uses_chunks(status, fields)
         self._handler.flush()
 
     def write(self, data: bytes) -> None:
         """Send a part of the body."""
-        # An empty chunk would say that the body is at its end.
+        # An empty chunk would end the body.
         if self.has_ended or not data:
             return
-        if self._held is not None:
-            self._held.pieces.append(data)
+        if self._buffered is not None:
+            self._buffered.pieces.append(data)
             return
         stream = self._stream
         if stream.writing():
-            self._note_blocked()
+            self._check_stalled()
         else:
             self._blocked_since = None
             if self._is_chunked and not stream.closed():
@@ -115,25 +117,25 @@
         """End the body."""
         if self.has_ended:
             return
-        if self._held is not None:
-            self._release(self._held)
+        if self._buffered is not None:
+            self._send_buffered(self._buffered)
         self.has_ended = True
         self._handler.finish()
 
     def abort(self) -> None:
-        """Cut the connection, so that the body can't look whole."""
+        """Close the connection so that the body is seen to be truncated."""
         if self.has_ended:
             return
         self.has_ended = True
         asyncio.ensure_future(_close_when_written(self._stream))
 
-    def _release(self, held: Held) -> None:
-        self._held = None
-        self.begin(status=held.status, fields=held.fields)
-        self.write(b"".join(held.pieces))
+    def _send_buffered(self, buffered: BufferedAnswer) -> None:
+        self._buffered = None
+        self.begin(status=buffered.status, fields=buffered.fields)
+        self.write(b"".join(buffered.pieces))
 
-    def _find_chunked(self, status: int, fields: list[tuple[str, str]]) -> bool:
-        """Tell whether tornado sends this body in chunks, for sure."""
+    def _uses_chunks(self, status: int, fields: list[tuple[str, str]]) -> bool:
+        """Return whether Tornado is certain to send this body chunked."""
         request = self._handler.request
         names = {name.lower() for name, _ in fields}
         return (
@@ -143,12 +145,12 @@
             and not names & FRAMING_HEADERS
         )
 
-    def _note_blocked(self) -> None:
+    def _check_stalled(self) -> None:
         now = self._loop.time()
         if self._blocked_since is None:
             self._blocked_since = now
         elif now - self._blocked_since > STALL_SECONDS:
-            log.info("callers: a caller takes nothing: cut")
+            log.info("callers: closed a connection: the caller reads nothing")
             self.has_ended = True
             self._stream.close()
 
@@ -156,10 +158,10 @@
 def _send_chunk(stream: IOStream, data: bytes) -> None:
     """Send a chunk on a stream whose write buffer is empty.
 
-    Tornado's own way makes two futures and three callbacks for each write
-    that nobody waits for, which costs more than the system call.  The socket
-    is written to at once instead, and what it doesn't take goes the usual
-    way, so that the order of bytes stays the same.
+    For each write Tornado creates two futures and three callbacks that nobody
+    waits for, which costs more than the system call.  This function writes to
+    the socket directly, and passes what the socket doesn't accept to Tornado,
+    so that the bytes stay in order.
     """
     chunk = b"%x\r\n%b\r\n" % (len(data), data)
     try:
@@ -167,7 +169,7 @@
     except BlockingIOError:
         sent = 0
     except OSError:
-        # The caller went away; the stream then reports its end.
+        # The caller has disconnected; closing the stream reports this.
         stream.close()
         return
     if sent < len(chunk):
@@ -175,7 +177,7 @@
 
 
 async def _close_when_written(stream: object) -> None:
-    """Close a connection once what was written has left, or soon."""
+    """Close a connection once its buffer is sent, or after a second."""
     for _ in range(100):
         if not stream.writing():
             break
--- a/eelgrassrack/entry/routes.py
+++ b/eelgrassrack/entry/routes.py
@@ -1,8 +1,8 @@
-"""Which models and versions may answer a request.
+"""Routing: the models and versions that can answer a request.
 
-A route is worked out from one snapshot of the document and used until
-the request ends, so that a retry or a later rung never sees another
-revision than the one the request was admitted under.
+A route is computed from one snapshot of the document and used until the
+request ends, so that retries and later rungs use the revision with which the
+request was admitted.
 """
 
 import msgspec
@@ -12,8 +12,8 @@
 from .refusals import CallerError
 
 
-class Step(msgspec.Struct, kw_only=True, frozen=True):
-    """One rung: a model and the versions the organisation may use."""
+class RouteStep(msgspec.Struct, kw_only=True, frozen=True):
+    """One rung: a model, and the versions that the organisation may use."""
 
     model: str
     versions: tuple[Version, ...]
@@ -32,19 +32,19 @@
 
     @property
     def active(self) -> tuple[Version, ...]:
-        """Return the versions that may be given new work."""
+        """Return the versions that accept new requests."""
         return tuple(v for v in self.versions if v.state.value == "active")
 
 
 class Route(msgspec.Struct, kw_only=True, frozen=True):
-    """The steps a request may take, the cheapest first."""
+    """The steps that a request can go through, cheapest first."""
 
     name: str
-    steps: tuple[Step, ...]
+    steps: tuple[RouteStep, ...]
 
     @property
     def is_cascade(self) -> bool:
-        """Tell whether there is more than one step."""
+        """Whether the route has more than one step."""
         return len(self.steps) > 1
 
 
@@ -63,7 +63,7 @@
 
 def find_step(
     *, snapshot: Snapshot, organisation: Organisation, name: str
-) -> Step | CallerError:
+) -> RouteStep | CallerError:
     """Return the step for a model, an alias or one version."""
     if name in snapshot.versions:
         labels = (name,)
@@ -85,7 +85,7 @@
             code="model_not_allowed",
             text=f"This organisation may not use {name}.",
         )
-    step = Step(model=model_name, versions=allowed)
+    step = RouteStep(model=model_name, versions=allowed)
     if not step.active:
         return CallerError(
             status=410,
@@ -96,7 +96,7 @@
 
 
 def list_names(*, snapshot: Snapshot, organisation: Organisation) -> list[str]:
-    """Return the names that the organisation may ask for, sorted."""
+    """Return the names that the organisation may request, sorted."""
     names = _find_names(snapshot)
     routes = (
         (name, find_route(snapshot=snapshot, organisation=organisation, name=name))
@@ -106,7 +106,7 @@
 
 
 def _find_names(snapshot: Snapshot) -> set[str]:
-    """Return every name that a request may hold."""
+    """Return all names that a request can ask for."""
     aliases = {alias for model in snapshot.models.values() for alias in model.aliases}
     return {*snapshot.models, *snapshot.versions, *snapshot.cascades, *aliases}
 
@@ -121,9 +121,9 @@
         find_step(snapshot=snapshot, organisation=organisation, name=rung)
         for rung in rungs
     ]
-    # A rung that the organisation may not use, or that is withdrawn, is
-    # left out; the cascade serves with the others.
-    steps = tuple(step for step in found if isinstance(step, Step))
+    # The cascade skips rungs that are withdrawn or that the organisation may not
+    # use.
+    steps = tuple(step for step in found if isinstance(step, RouteStep))
     if not steps:
         return found[0]
     return Route(name=name, steps=steps)
--- a/eelgrassrack/entry/services.py
+++ b/eelgrassrack/entry/services.py
@@ -1,16 +1,16 @@
-"""A request for a plain service from its arrival to its answer."""
+"""Requests for plain services: permission, admission, dispatch and response."""
 
 from collections.abc import Callable
 
 from ..decisions.stopping import DrainAction
 from ..document.sections import Organisation
 from ..document.snapshot import Snapshot
-from .admission import Door
+from .admission import AdmissionControl
 from .answers import Labels, Responder, write_body, write_error
 from .arrivals import ServiceArrival
 from .channels import Completed
 from .dispatcher import Dispatcher
-from .headers import Run, is_passed_on
+from .headers import Run, is_forwarded
 from .idempotency import IdempotentRunner
 from .identity import Identity
 from .jobs import Job
@@ -22,24 +22,30 @@
 
 
 class ServiceFlow:
-    """Answer requests for plain services."""
+    """Answers requests for plain services."""
 
-    __slots__ = ("_dispatcher", "_door", "_identity", "_ledger", "_once")
+    __slots__ = (
+        "_dispatcher",
+        "_admission",
+        "_identity",
+        "_find_ledger",
+        "_idempotent_runner",
+    )
 
     def __init__(
         self,
         *,
         dispatcher: Dispatcher,
-        door: Door,
+        admission: AdmissionControl,
         identity: Identity,
-        ledger: Callable[[], str],
-        once: IdempotentRunner,
+        find_ledger: Callable[[], str],
+        idempotent_runner: IdempotentRunner,
     ) -> None:
         self._dispatcher = dispatcher
-        self._door = door
+        self._admission = admission
         self._identity = identity
-        self._ledger = ledger
-        self._once = once
+        self._find_ledger = find_ledger
+        self._idempotent_runner = idempotent_runner
 
     async def answer(
         self,
@@ -49,7 +55,7 @@
         snapshot: Snapshot,
         responder: Responder,
     ) -> None:
-        """Send a request's answer, or the error in its place."""
+        """Send the answer to a request, or an error."""
         labels = Labels(
             request=self._identity.make_request(), revision=snapshot.revision
         )
@@ -60,16 +66,16 @@
                     arrival, organisation, snapshot, labels.request
                 )
             finally:
-                self._door.release(organisation=organisation)
+                self._admission.release(organisation=organisation)
         match result:
             case CallerError():
                 write_error(responder=responder, labels=labels, error=result)
             case Completed(status=status, headers=fields, pieces=pieces):
-                passed = [pair for pair in fields if is_passed_on(pair[0])]
+                forwarded = [pair for pair in fields if is_forwarded(pair[0])]
                 write_body(
                     responder=responder,
                     status=status,
-                    fields=[*labels.build_headers(run=Run.RAN), *passed],
+                    fields=[*labels.build_headers(run=Run.RAN), *forwarded],
                     body=b"".join(pieces),
                 )
 
@@ -82,19 +88,19 @@
                 code="service_not_allowed",
                 text=f"This organisation may not use {arrival.service}.",
             )
-        if not arrival.repeatable and not arrival.terms.idempotency_key:
-            # A resend without a key can't be told from a new request, and
+        if not arrival.repeatable and not arrival.options.idempotency_key:
+            # Without a key a resend can't be distinguished from a new request and
             # would run a second time.
             return CallerError(
                 status=BAD_REQUEST,
                 code="idempotency_key_missing",
                 text="This operation may not be repeated and needs Idempotency-Key.",
             )
-        return self._door.admit(
+        return self._admission.admit(
             organisation=organisation,
             snapshot=snapshot,
             tokens=arrival.tokens,
-            within=arrival.terms.within,
+            remaining=arrival.options.remaining,
             versions=[("",)],
             service=arrival.service,
             repeatable=arrival.repeatable,
@@ -111,8 +117,8 @@
             request=request,
             organisation=organisation.name,
             snapshot=snapshot,
-            deadline=self._door.find_deadline(within=arrival.terms.within),
-            ledger=self._ledger(),
+            deadline=self._admission.find_deadline(remaining=arrival.options.remaining),
+            ledger=self._find_ledger(),
             service=arrival.service,
             priority=organisation.priority,
             tokens=arrival.tokens,
@@ -120,13 +126,13 @@
             fingerprint=arrival.fingerprint,
             method=arrival.method,
             path=arrival.path,
-            headers=arrival.passed_headers,
+            headers=arrival.forwarded_headers,
             body=arrival.body,
         )
         if arrival.repeatable:
             return judge_outcome(await self._dispatcher.run(job=job))
-        return await self._once.run(
+        return await self._idempotent_runner.run(
             job=job,
             operation=f"{arrival.service} {arrival.method} {arrival.path}",
-            key=arrival.terms.idempotency_key,
+            key=arrival.options.idempotency_key,
         )
--- a/eelgrassrack/entry/serving.py
+++ b/eelgrassrack/entry/serving.py
@@ -1,4 +1,4 @@
-"""The parts of an entry that serve callers, wired together."""
+"""Creates and connects the parts of an entry that process requests."""
 
 import random
 import secrets
@@ -22,7 +22,7 @@
 from ..store.pins import Pins
 from ..store.platform import RatingClient
 from ..store.sweeper import Sweeper
-from .admission import Door
+from .admission import AdmissionControl
 from .billing import Billing
 from .channels import Channels
 from .chat import ChatFlow
@@ -38,18 +38,18 @@
 from .services import ServiceFlow
 from .sessions import Sessions
 from .steps import StepRunner
-from .suspects import Suspects
+from .suspects import SuspectRequests
 
 Post = Callable[[str, AnyMessage], None]
 
-# Retries that an entry that has just started may make.
-RETRY_FLOOR = 10.0
+# Retries that an entry may make right after its start.
+INITIAL_RETRIES = 10.0
 
 LEASE_ID_BYTES = 6
 
 
 class Serving:
-    """Flows of requests, and what they share."""
+    """The parts that process requests, and the background work for them."""
 
     __slots__ = (
         "_billing",
@@ -57,7 +57,7 @@
         "_channels",
         "_clock",
         "_directory",
-        "_door",
+        "_admission",
         "_identity",
         "_invariants",
         "_meter",
@@ -85,7 +85,7 @@
         settings: EntrySettings,
         incarnation: str,
         store: ObjectStore,
-        suspects: Suspects,
+        suspects: SuspectRequests,
     ) -> None:
         self._billing = billing
         self._rng = rng
@@ -100,11 +100,13 @@
         claims = Claims(store=store, clock=time.time, invariants=invariants)
         pins = Pins(store=store, invariants=invariants)
         dispatcher = self._build_dispatcher(settings, suspects)
-        self._door = door = Door(directory=directory, rng=rng, clock=clock)
-        chooser = CascadePlanner()
+        self._admission = admission = AdmissionControl(
+            directory=directory, rng=rng, clock=clock
+        )
+        planner = CascadePlanner()
         health = RolloutHealth()
         self.ratings = Ratings(
-            client=rating, chooser=chooser, health=health, rng=rng, clock=clock
+            client=rating, planner=planner, health=health, rng=rng, clock=clock
         )
         self.idempotent_runner = IdempotentRunner(
             channels=channels,
@@ -119,18 +121,18 @@
         self.core = Core(
             name=settings.name,
             billing=billing,
-            chat=self._build_chat(chooser, dispatcher, door, sessions),
+            chat=self._build_chat(planner, dispatcher, admission, sessions),
             configuration=configuration,
             directory=directory,
             health=health,
             identity=self._identity,
             invariants=invariants,
             meter=meter,
-            services=self._build_services(dispatcher, door),
+            services=self._build_services(dispatcher, admission),
         )
 
     def note_domains(self, snapshot: Snapshot) -> None:
-        """Begin the ramp of each failure domain that is back in."""
+        """Start the ramp of each failure domain that is back in service."""
         for domain in snapshot.domains.values():
             self._ramp.note_state(
                 domain=domain.name,
@@ -139,19 +141,19 @@
                 seconds=domain.ramp_seconds,
             )
 
-    def end_by(self, time: float) -> None:
-        """Have every caller answered by the end of this entry."""
-        self._door.ends_at = time
-        self._channels.end_by(time)
-        self.core.end_by(time)
+    def set_end(self, time: float) -> None:
+        """Have every caller answered by `time`, when this entry exits."""
+        self._admission.ends_at = time
+        self._channels.set_end(time)
+        self.core.set_end(time)
 
     async def stop(self) -> None:
-        """End what goes on behind the requests."""
+        """Stop the ratings and the recording of outcomes."""
         await self.ratings.stop()
         await self.idempotent_runner.stop()
 
     def _build_dispatcher(
-        self, settings: EntrySettings, suspects: Suspects
+        self, settings: EntrySettings, suspects: SuspectRequests
     ) -> Dispatcher:
         picker = Picker(
             directory=self._directory,
@@ -165,7 +167,7 @@
             find_snapshot=lambda: self.core.snapshot,
             identity=self._identity,
             picker=picker,
-            budget=RetryBudget(ratio=Limits().retry_ratio, floor=RETRY_FLOOR),
+            budget=RetryBudget(ratio=Limits().retry_ratio, floor=INITIAL_RETRIES),
             invariants=self._invariants,
             meter=self._meter,
             post=self._post,
@@ -189,9 +191,9 @@
 
     def _build_chat(
         self,
-        chooser: CascadePlanner,
+        planner: CascadePlanner,
         dispatcher: Dispatcher,
-        door: Door,
+        admission: AdmissionControl,
         sessions: Sessions,
     ) -> ChatFlow:
         steps = StepRunner(
@@ -201,10 +203,10 @@
             clock=self._clock,
         )
         return ChatFlow(
-            chooser=chooser,
-            door=door,
+            planner=planner,
+            admission=admission,
             identity=self._identity,
-            ledger=self._find_ledger,
+            find_ledger=self._find_ledger,
             meter=self._meter,
             ratings=self.ratings,
             steps=steps,
@@ -212,13 +214,15 @@
             clock=self._clock,
         )
 
-    def _build_services(self, dispatcher: Dispatcher, door: Door) -> ServiceFlow:
+    def _build_services(
+        self, dispatcher: Dispatcher, admission: AdmissionControl
+    ) -> ServiceFlow:
         return ServiceFlow(
             dispatcher=dispatcher,
-            door=door,
+            admission=admission,
             identity=self._identity,
-            ledger=self._find_ledger,
-            once=self.idempotent_runner,
+            find_ledger=self._find_ledger,
+            idempotent_runner=self.idempotent_runner,
         )
 
     def _find_ledger(self) -> str:
