--- a/eelgrassrack/entry/sessions.py
+++ b/eelgrassrack/entry/sessions.py
@@ -1,10 +1,9 @@
-"""Which version a request goes to, and its session's pin.
+"""Picks the version for a request, and pins sessions to their version.
 
-A caller-chosen session id is pinned at first sight, also while its model
-has one version only: a pin that is made when a second version rolls out
-can't tell a session that began before from a new one, and would move it.
-A signed token in the response holds the same pin without a read of the
-store, so that a caller that sends it back costs none.
+A session is pinned at its first request, even while its model has only one
+version: a pin made after the roll-out of a second one couldn't distinguish
+old sessions from new ones and might move them.  The response holds the same
+pin as a signed token; if the caller sends it back, the store isn't read.
 """
 
 import random
@@ -25,18 +24,18 @@
     read_token,
     sign_token,
 )
-from .arrivals import Terms
+from .arrivals import RequestOptions
 from .refusals import CallerError, refuse_unavailable
-from .routes import Step
+from .routes import RouteStep
 
-# Part of all delivered answers that may be rated afterwards.
+# Fraction of all delivered answers that may be rated afterwards.
 SAMPLE_BUDGET = 0.2
 
 
-class Picked(msgspec.Struct, kw_only=True, frozen=True):
-    """The version for one step, and the token that keeps it.
+class PickedVersion(msgspec.Struct, kw_only=True, frozen=True):
+    """The version for one step, and the session's token for it.
 
-    `sample_share` is the part of its answers to rate afterwards.
+    `sample_share` is the fraction of the version's answers to rate afterwards.
     """
 
     version: str
@@ -45,7 +44,7 @@
 
 
 class Sessions:
-    """Pick versions by share and keep sessions on theirs."""
+    """Picks versions by their shares, and keeps sessions on their version."""
 
     __slots__ = ("_health", "_invariants", "_pins", "_rng")
 
@@ -66,14 +65,14 @@
         self,
         *,
         organisation: Organisation,
-        step: Step,
-        terms: Terms,
+        step: RouteStep,
+        options: RequestOptions,
         policy: Policy,
         now: float,
-    ) -> Picked | CallerError:
+    ) -> PickedVersion | CallerError:
         """Return the version for a step of a request."""
         shares = self._find_shares(step, policy, now)
-        picked = await self._pick(organisation, step, terms, shares)
+        picked = await self._pick(organisation, step, options, shares)
         if isinstance(picked, CallerError):
             return picked
         sample_share = find_sample_share(
@@ -84,51 +83,51 @@
     async def _pick(
         self,
         organisation: Organisation,
-        step: Step,
-        terms: Terms,
+        step: RouteStep,
+        options: RequestOptions,
         shares: dict[str, float],
-    ) -> Picked | CallerError:
-        if not terms.session:
+    ) -> PickedVersion | CallerError:
+        if not options.session:
             return self._choose(shares)
-        known = self._read_token(organisation, step, terms)
+        known = self._read_token(organisation, step, options)
         if isinstance(known, Unpinned):
-            return await self._pin(organisation, step, terms, shares)
-        return self._judge(known, organisation, step, terms)
+            return await self._pin(organisation, step, options, shares)
+        return self._check_pin(known, organisation, step, options)
 
     async def _pin(
         self,
         organisation: Organisation,
-        step: Step,
-        terms: Terms,
+        step: RouteStep,
+        options: RequestOptions,
         shares: dict[str, float],
-    ) -> Picked | CallerError:
+    ) -> PickedVersion | CallerError:
         chosen = self._choose(shares)
         if isinstance(chosen, CallerError):
             return chosen
         result = await self._pins.pin(
             organisation=organisation.name,
-            session=terms.session,
+            session=options.session,
             model=step.model,
             version=chosen.version,
         )
         match result:
             case PinUnavailable(reason=reason, retry_after=retry_after):
-                # Without the store nobody knows which version the session
-                # has.  To guess could move it, so the request is refused.
+                # Without the store the session's version is unknown.  Any choice
+                # could move the session, so the request is refused.
                 return refuse_unavailable(
                     reason=f"session_unknown: {reason}", retry_after=retry_after
                 )
             case PinnedTo(version=version):
                 pin = Pinned(version=version)
-                return self._judge(pin, organisation, step, terms)
+                return self._check_pin(pin, organisation, step, options)
 
-    def _judge(
+    def _check_pin(
         self,
         pin: Pinned,
         organisation: Organisation,
-        step: Step,
-        terms: Terms,
-    ) -> Picked | CallerError:
+        step: RouteStep,
+        options: RequestOptions,
+    ) -> PickedVersion | CallerError:
         verdict = judge_pin(
             pin=pin,
             active=frozenset(version.name for version in step.active),
@@ -146,35 +145,37 @@
                 token = sign_token(
                     secret=_find_secret(organisation),
                     organisation=organisation.name,
-                    session=terms.session,
+                    session=options.session,
                     model=step.model,
                     version=version,
                 )
-                return Picked(version=version, token=token)
+                return PickedVersion(version=version, token=token)
 
-    def _find_shares(self, step: Step, policy: Policy, now: float) -> dict[str, float]:
+    def _find_shares(
+        self, step: RouteStep, policy: Policy, now: float
+    ) -> dict[str, float]:
         planned = [
             PlannedVersion(name=version.name, weight=version.weight, active=True)
             for version in step.active
         ]
         return self._health.find_shares(versions=planned, now=now, policy=policy)
 
-    def _choose(self, shares: dict[str, float]) -> Picked | CallerError:
+    def _choose(self, shares: dict[str, float]) -> PickedVersion | CallerError:
         chosen = choose_version(shares=shares, chance=self._rng.random())
         if chosen is None:
             return refuse_unavailable(reason="no_version", retry_after=5.0)
-        return Picked(version=chosen)
+        return PickedVersion(version=chosen)
 
     def _read_token(
-        self, organisation: Organisation, step: Step, terms: Terms
+        self, organisation: Organisation, step: RouteStep, options: RequestOptions
     ) -> Pinned | Unpinned:
-        if not terms.session_token:
+        if not options.session_token:
             return Unpinned()
         result = read_token(
             secret=_find_secret(organisation),
-            token=terms.session_token,
+            token=options.session_token,
             organisation=organisation.name,
-            session=terms.session,
+            session=options.session,
             model=step.model,
         )
         match result:
@@ -185,8 +186,8 @@
 
 
 def _find_secret(organisation: Organisation) -> bytes:
-    # All entries know the digest.  A caller that forged a token with it
-    # could only pick a version that it may ask for by name as well.
+    # All entries know the digest.  A caller that forges a token with it gets only a
+    # version that it may also request by name.
     return organisation.key_digest.encode()
 
 
--- a/eelgrassrack/entry/steps.py
+++ b/eelgrassrack/entry/steps.py
@@ -1,4 +1,4 @@
-"""One step of a chat request: pick a version, dispatch, judge the end."""
+"""Runs one step of a chat request: picks a version and dispatches it."""
 
 from collections.abc import Callable
 
@@ -16,18 +16,21 @@
 from .ratings import Ratings
 from .refusals import CallerError
 from .routes import Route
-from .sessions import Picked, Sessions
+from .sessions import PickedVersion, Sessions
 from .texts import join_pieces, read_body
 
-# A prompt's first characters name the prefix that an engine may have
-# cached; requests that share them go to the same endpoint if it has room.
+# Requests that share this many leading characters of the prompt go to the same
+# endpoint if it has capacity, because its engine may have the prefix cached.
 AFFINITY_CHARACTERS = 256
 
 
-class Request(msgspec.Struct, kw_only=True, frozen=True):
-    """One chat request with what it was admitted under."""
+class ChatRequest(msgspec.Struct, kw_only=True, frozen=True):
+    """An admitted chat request, with the snapshot and route it uses.
 
-    identity: str
+    `deadline` is in the time of the event loop.
+    """
+
+    request_id: str
     arrival: ChatArrival
     organisation: Organisation
     snapshot: Snapshot
@@ -37,12 +40,12 @@
 
     @property
     def kind(self) -> str:
-        """Return the kind of request that ratings are kept by."""
-        return self.arrival.terms.kind
+        """Return the kind of request, by which ratings are grouped."""
+        return self.arrival.options.kind
 
     @property
     def rungs(self) -> list[Rung]:
-        """Return the route's steps as the cascade's decision sees them."""
+        """Return the steps of the route as input for the cascade planner."""
         return [
             Rung(model=step.model, cost=step.cost, quality=step.quality)
             for step in self.route.steps
@@ -50,18 +53,18 @@
 
     @property
     def affinity(self) -> str:
-        """Return what should go to one endpoint together."""
-        return self.arrival.terms.session or self.arrival.prompt[:AFFINITY_CHARACTERS]
+        """Return the affinity key: requests with equal keys share an endpoint."""
+        return self.arrival.options.session or self.arrival.prompt[:AFFINITY_CHARACTERS]
 
 
 class StepAnswered(msgspec.Struct, kw_only=True, frozen=True):
-    """A whole answer of one step.
+    """The complete answer of one step.
 
-    `is_sent` tells that its pieces went out already, `is_sample` that it
-    is to be rated after delivery.
+    `is_sent` means that its pieces were sent already, `is_sample` that it is
+    to be rated after delivery.
     """
 
-    whole: Completed
+    completed: Completed
     model: str
     labels: Labels
     stream: ChatStream
@@ -71,19 +74,19 @@
     def read_text(self, *, is_streamed: bool) -> str:
         """Return the answer's text."""
         if is_streamed:
-            return join_pieces(self.whole.pieces)
-        return read_body(b"".join(self.whole.pieces))
+            return join_pieces(self.completed.pieces)
+        return read_body(b"".join(self.completed.pieces))
 
 
 class StepFailed(msgspec.Struct, kw_only=True, frozen=True):
-    """A step without a whole answer."""
+    """The error of a step without a complete answer."""
 
     labels: Labels
     error: CallerError
 
 
 class StepRunner:
-    """Run single steps."""
+    """Runs single steps of chat requests."""
 
     __slots__ = ("_clock", "_dispatcher", "_ratings", "_sessions")
 
@@ -101,15 +104,18 @@
         self._clock = clock
 
     async def run(
-        self, *, request: Request, index: int, direct: bool, responder: Responder
+        self, *, request: ChatRequest, index: int, direct: bool, responder: Responder
     ) -> StepAnswered | StepFailed:
-        """Run the step at `index`; a direct one streams as it comes."""
+        """Run the step at `index`.
+
+        With `direct` a streamed answer is sent to the caller as it arrives.
+        """
         step = request.route.steps[index]
-        labels = Labels(request=request.identity, revision=request.snapshot.revision)
+        labels = Labels(request=request.request_id, revision=request.snapshot.revision)
         picked = await self._sessions.pick(
             organisation=request.organisation,
             step=step,
-            terms=request.arrival.terms,
+            options=request.arrival.options,
             policy=request.snapshot.policy,
             now=self._clock(),
         )
@@ -129,10 +135,10 @@
         )
         if isinstance(result, CallerError):
             if responder.has_begun:
-                stream.break_off(result)
+                stream.abort(result)
             return StepFailed(labels=labels, error=result)
         return StepAnswered(
-            whole=result,
+            completed=result,
             model=step.model,
             labels=labels,
             stream=stream,
@@ -142,31 +148,31 @@
 
     async def _dispatch(
         self,
-        request: Request,
+        request: ChatRequest,
         index: int,
-        picked: Picked,
+        picked: PickedVersion,
         stream: ChatStream,
         is_sent: bool,
         is_sample: bool,
     ) -> Completed | CallerError:
         began = self._clock()
-        dispatched = await self._dispatcher.run(
+        result = await self._dispatcher.run(
             job=_build_job(request, index, picked),
             sink=stream.write_piece if is_sent else None,
-            keeps=not is_sent or is_sample,
+            keeps_pieces=not is_sent or is_sample,
         )
         self._ratings.note_end(
             version=picked.version,
-            dispatched=dispatched,
+            result=result,
             seconds=self._clock() - began,
         )
-        return judge_outcome(dispatched)
+        return judge_outcome(result)
 
 
-def _build_job(request: Request, index: int, picked: Picked) -> Job:
+def _build_job(request: ChatRequest, index: int, picked: PickedVersion) -> Job:
     arrival = request.arrival
     return Job(
-        request=request.identity,
+        request=request.request_id,
         organisation=request.organisation.name,
         snapshot=request.snapshot,
         deadline=request.deadline,
--- a/eelgrassrack/entry/suspects.py
+++ b/eelgrassrack/entry/suspects.py
@@ -1,8 +1,8 @@
-"""Requests that crash endpoints, as this entry knows them.
+"""Suspected and quarantined requests: those that may crash endpoints.
 
-Agents report which requests were running when an engine died.  What is
-quarantined here is spread to other entries and to the agents at once, so
-that the caller's resend, through whichever entry, is refused.
+Agents report which requests were running when an engine crashed.  A request
+that is identified as a query of death is quarantined, and its fingerprint is
+sent to other entries and agents at once, so that they refuse resends as well.
 """
 
 from collections.abc import Callable
@@ -20,8 +20,8 @@
 Spread = Callable[[tuple[str, ...]], None]
 
 
-class Suspects:
-    """Judge requests by the crashes they were seen in."""
+class SuspectRequests:
+    """Detects requests that crash endpoints and quarantines them."""
 
     __slots__ = ("_clock", "_quarantine", "_spread")
 
@@ -32,11 +32,11 @@
 
     @property
     def quarantined(self) -> tuple[str, ...]:
-        """Return the fingerprints that are refused everywhere."""
+        """Return the fingerprints of all quarantined requests."""
         return self._quarantine.fingerprints
 
     def judge(self, *, fingerprint: str) -> Clear | RunAlone | CallerError:
-        """Return how a request may run, or its refusal."""
+        """Return whether a request may run, with others or alone, or its refusal."""
         if not fingerprint:
             return Clear()
         standing = self._quarantine.judge(fingerprint=fingerprint, now=self._clock())
@@ -48,32 +48,32 @@
         return standing
 
     def begin_trial(self, *, fingerprint: str) -> None:
-        """Note that a suspect is being run alone."""
+        """Note that a suspected request starts to run alone."""
         self._quarantine.begin_trial(fingerprint=fingerprint, now=self._clock())
 
     def end_trial(self, *, fingerprint: str) -> None:
-        """Note that a run alone has ended, whichever way."""
+        """Note that a suspected request that ran alone has ended."""
         self._quarantine.end_trial(fingerprint=fingerprint)
 
     def take_crash(self, crash: Crash) -> None:
-        """Learn from a crash and spread what is quarantined by it."""
-        guilty = self._quarantine.note_crash(
+        """Process a crash; spread the requests that it causes to be quarantined."""
+        culprits = self._quarantine.note_crash(
             endpoint=crash.endpoint,
             fingerprints=crash.fingerprints,
             alone=crash.alone,
             now=self._clock(),
         )
-        if guilty:
-            log.warning("suspects: quarantined: {}", ", ".join(guilty))
-            self._spread(guilty)
+        if culprits:
+            log.warning("suspects: quarantined: {}", ", ".join(culprits))
+            self._spread(culprits)
 
     def take_cleared(self, cleared: Cleared) -> None:
-        """Clear suspects that ran whole."""
+        """Clear suspected requests that ran without a crash."""
         for fingerprint in cleared.fingerprints:
             self._quarantine.note_cleared(fingerprint=fingerprint)
 
     def merge(self, fingerprints: tuple[str, ...]) -> None:
-        """Take over what a peer quarantined, and pass on what was new."""
+        """Add the requests that a peer quarantined, and spread the new ones."""
         new = tuple(set(fingerprints) - set(self.quarantined))
         self._quarantine.merge(fingerprints=fingerprints, now=self._clock())
         spread = tuple(sorted(set(new) & set(self.quarantined)))
--- a/eelgrassrack/entry/texts.py
+++ b/eelgrassrack/entry/texts.py
@@ -1,10 +1,10 @@
-"""The text of an answer, for the rating service."""
+"""Extracts the text of an answer for the rating service."""
 
 import msgspec
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """A part of a message."""
+    """The part of a message in one chunk."""
 
     content: str | None = None
 
@@ -16,19 +16,19 @@
 
 
 class Message(msgspec.Struct, frozen=True):
-    """A whole message."""
+    """A complete message."""
 
     content: str | None = None
 
 
 class PlainChoice(msgspec.Struct, frozen=True):
-    """One choice of a plain body."""
+    """One choice of a body that isn't streamed."""
 
     message: Message = Message()
 
 
 class PlainBody(msgspec.Struct, frozen=True):
-    """The part of a plain body that holds the answer."""
+    """The part of a body that holds the answer."""
 
     choices: list[PlainChoice] = []
 
@@ -38,7 +38,7 @@
 
 
 def join_pieces(pieces: tuple[bytes, ...]) -> str:
-    """Return the text of a streamed answer; empty if it can't be read."""
+    """Return the text of a streamed answer, or '' if it can't be parsed."""
     try:
         chunks = [_choices.decode(piece) for piece in pieces]
     except msgspec.DecodeError:
@@ -48,7 +48,7 @@
 
 
 def read_body(body: bytes) -> str:
-    """Return the text of a plain answer; empty if it can't be read."""
+    """Return the text of a plain body, or '' if it can't be parsed."""
     try:
         choices = _body.decode(body).choices
     except msgspec.DecodeError:
--- a/test/entry/test_configuration.py
+++ b/test/entry/test_configuration.py
@@ -7,7 +7,7 @@
 from eelgrassrack.document.snapshot import Snapshot
 from eelgrassrack.entry.configuration import (
     CONFIRM_SECONDS,
-    LONGEST_GAP,
+    MAX_TICK_GAP_SECONDS,
     Configuration,
 )
 from eelgrassrack.invariants import Invariants
@@ -27,7 +27,7 @@
 
 def pause(configuration):
     """Let a configuration wake from a pause."""
-    configuration._seen_at -= LONGEST_GAP + 1
+    configuration._ticked_at -= MAX_TICK_GAP_SECONDS + 1
     configuration.tick()
 
 
@@ -56,9 +56,9 @@
     async def scenario():
         asked = []
         configuration = make_paused(asked)
-        configuration.confirm(3, "peer", 0)
+        configuration.note_peer_revision(3, "peer", 0)
         began = asyncio.get_running_loop().time()
-        await configuration.wait_sure()
+        await configuration.wait_confirmed()
         return asyncio.get_running_loop().time() - began, asked
 
     waited, asked = asyncio.run(scenario())
@@ -75,7 +75,7 @@
     async def scenario():
         asked = []
         configuration = make_paused(asked)
-        waiting = asyncio.ensure_future(configuration.wait_sure())
+        waiting = asyncio.ensure_future(configuration.wait_confirmed())
         while not asked:
             await asyncio.sleep(0.01)
         copy = msgspec.msgpack.encode(Snapshot(revision=4))
@@ -117,9 +117,9 @@
         head.ends.set_result(Unchanged())
         head.ends = asyncio.get_running_loop().create_future()
         await asyncio.sleep(0.01)
-        is_sure = configuration.is_sure
+        is_confirmed = configuration.is_confirmed
         following.cancel()
-        return is_sure
+        return is_confirmed
 
     assert not asyncio.run(scenario())
 
@@ -130,15 +130,15 @@
     async def scenario():
         asked = []
         configuration = make_paused(asked)
-        waiting = asyncio.ensure_future(configuration.wait_sure())
+        waiting = asyncio.ensure_future(configuration.wait_confirmed())
         while not asked:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
-        configuration.confirm(3, "peer", 0)
+        configuration.note_peer_revision(3, "peer", 0)
         await asyncio.sleep(0.1)
-        is_sure = configuration.is_sure
+        is_confirmed = configuration.is_confirmed
         await waiting
-        return is_sure
+        return is_confirmed
 
     assert not asyncio.run(scenario())
 
--- a/test/entry/test_directory.py
+++ b/test/entry/test_directory.py
@@ -4,7 +4,12 @@
 
 from eelgrassrack.document.sections import Domain, DomainState, Pool, Version
 from eelgrassrack.document.snapshot import Snapshot
-from eelgrassrack.entry.directory import GONE_AFTER, SILENT_AFTER, Absence, Directory
+from eelgrassrack.entry.directory import (
+    GONE_AFTER_SECONDS,
+    SILENT_AFTER_SECONDS,
+    Directory,
+    NoEndpointReason,
+)
 from eelgrassrack.mailbox.messages import Load
 from eelgrassrack.store.instances import Instance, Role
 
@@ -51,20 +56,24 @@
     directory.take_load(load, instance.mailbox, f"{instance.name}.1", now)
 
 
-def find(directory: Directory, now: float, *, service: str = "") -> set | Absence:
+def find(
+    directory: Directory, now: float, *, service: str = ""
+) -> set | NoEndpointReason:
     version = "" if service else "m/1"
     found = directory.find_serving(
         snapshot=SNAPSHOT, version=version, service=service, now=now
     )
     return (
-        found if isinstance(found, Absence) else {endpoint.name for endpoint in found}
+        found
+        if isinstance(found, NoEndpointReason)
+        else {endpoint.name for endpoint in found}
     )
 
 
 def test_only_agents_of_the_right_pool_that_beat_are_found():
     a, b, c = make_instance("a"), make_instance("b"), make_instance("c", pool="s")
     directory, _ = make_directory(a, b, c)
-    assert find(directory, 0.0) is Absence.SILENT
+    assert find(directory, 0.0) is NoEndpointReason.SILENT
     beat(directory, a, 0.0)
     beat(directory, c, 0.0)
     assert find(directory, 0.0) == {"a"}
@@ -81,12 +90,12 @@
     a, b = make_instance("a", domain="out"), make_instance("b")
     directory, _ = make_directory(a)
     beat(directory, a, 0.0)
-    assert find(directory, 0.0) is Absence.DOMAINS_OUT
+    assert find(directory, 0.0) is NoEndpointReason.DOMAINS_OUT
     directory.take_listing([a, b])
-    assert find(directory, 0.0) is Absence.SILENT
+    assert find(directory, 0.0) is NoEndpointReason.SILENT
     assert make_directory()[0].find_serving(
         snapshot=SNAPSHOT, version="m/1", service="", now=0.0
-    ) is (Absence.NONE_KNOWN)
+    ) is (NoEndpointReason.NONE_KNOWN)
 
 
 def test_an_agent_that_falls_silent_is_lost_and_found_again_when_it_beats():
@@ -98,11 +107,11 @@
     a = make_instance("a")
     directory, lost = make_directory(a)
     beat(directory, a, 0.0)
-    assert find(directory, SILENT_AFTER + 0.1) is Absence.SILENT
-    directory.drop_silent(GONE_AFTER)
+    assert find(directory, SILENT_AFTER_SECONDS + 0.1) is NoEndpointReason.SILENT
+    directory.drop_silent(GONE_AFTER_SECONDS)
     assert not lost
-    directory.drop_silent(GONE_AFTER + 0.1)
-    directory.drop_silent(GONE_AFTER + 0.2)
+    directory.drop_silent(GONE_AFTER_SECONDS + 0.1)
+    directory.drop_silent(GONE_AFTER_SECONDS + 0.2)
     assert lost == ["a.1"]
     assert not directory.reporting
     beat(directory, a, 10.0)
@@ -115,7 +124,7 @@
     beat(directory, a, 0.0)
     directory.take_listing([])
     assert [endpoint.name for endpoint in directory] == ["a"]
-    assert find(directory, 0.0) is Absence.LEAVING
-    directory.drop_silent(GONE_AFTER + 0.1)
+    assert find(directory, 0.0) is NoEndpointReason.LEAVING
+    directory.drop_silent(GONE_AFTER_SECONDS + 0.1)
     assert lost == ["a.1"]
     assert not list(directory)
--- a/test/entry/test_dispatcher.py
+++ b/test/entry/test_dispatcher.py
@@ -16,16 +16,16 @@
     VersionState,
 )
 from eelgrassrack.document.snapshot import Snapshot
-from eelgrassrack.entry.channels import LAST_WORD, Channels
+from eelgrassrack.entry.channels import CANCEL_REPLY_SECONDS, Channels
 from eelgrassrack.entry.directory import Directory
 from eelgrassrack.entry.dispatcher import Dispatcher
 from eelgrassrack.entry.headers import Run
 from eelgrassrack.entry.identity import Identity
-from eelgrassrack.entry.jobs import Job, Placed, build_start
+from eelgrassrack.entry.jobs import AttemptTarget, Job, build_start
 from eelgrassrack.entry.meter import Meter
 from eelgrassrack.entry.outcomes import judge_outcome
 from eelgrassrack.entry.picker import Picker
-from eelgrassrack.entry.suspects import Suspects
+from eelgrassrack.entry.suspects import SuspectRequests
 from eelgrassrack.invariants import Invariants
 from eelgrassrack.mailbox.messages import (
     Ended,
@@ -50,7 +50,7 @@
 )
 
 
-class Entry:
+class FakeEntry:
     """A dispatcher before agents that say what the test wants."""
 
     def __init__(self, words):
@@ -93,7 +93,7 @@
             invariants=Invariants(strict=True),
             meter=Meter(metrics=Metrics(settings=MetricSettings())),
             post=self.post,
-            suspects=Suspects(clock=loop.time, spread=lambda fingerprints: None),
+            suspects=SuspectRequests(clock=loop.time, spread=lambda fingerprints: None),
         )
 
     def post(self, to, message):
@@ -133,7 +133,7 @@
     """
 
     async def play():
-        entry = Entry(words)
+        entry = FakeEntry(words)
         if is_withdrawn:
             asyncio.get_running_loop().call_soon(withdraw, entry)
         job = Job(
@@ -215,6 +215,6 @@
     a part of an answer in place of a refusal.
     """
     job = Job(request="r", organisation="o", snapshot=SNAPSHOT, deadline=10.0)
-    placed = Placed(attempt="a", endpoint="x", agent="x.1", address="x")
-    start = build_start(job=job, placed=placed, now=4.0, alone=False)
-    assert start.within == 10.0 - 4.0 - LAST_WORD
+    target = AttemptTarget(attempt="a", endpoint="x", agent="x.1", address="x")
+    start = build_start(job=job, target=target, now=4.0, alone=False)
+    assert start.within == 10.0 - 4.0 - CANCEL_REPLY_SECONDS
--- a/test/entry/test_last_words.py
+++ b/test/entry/test_last_words.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from eelgrassrack.entry.entry import LAST_SECONDS, EntryDaemon
+from eelgrassrack.entry.entry import AFTER_GRACE_SECONDS, EntryDaemon
 from eelgrassrack.standins import system
 
 from ..promises.world import REGISTRY, TUTOR_EAST, World
@@ -73,15 +73,15 @@
 def test_a_caller_in_the_queue_of_the_port_is_told(world, monkeypatch):
     """It connects, and sends a request, in the moment in which the entry is done."""
     callers = []
-    shut = EntryDaemon._shut_door
+    end_requests = EntryDaemon._end_requests
     host, _, port = world.entry().url.removeprefix("http://").rpartition(":")
 
     async def come(entry):
         callers.append(socket.create_connection((host, int(port))))
         callers[0].sendall(REQUEST)
-        await shut(entry)
+        await end_requests(entry)
 
-    monkeypatch.setattr(EntryDaemon, "_shut_door", come)
+    monkeypatch.setattr(EntryDaemon, "_end_requests", come)
     world.run(world.system.stop_entry("entry-0"))
     with callers[0] as caller:
         assert caller.recv(12) == b"HTTP/1.1 503"
@@ -114,7 +114,7 @@
 
     async def ask():
         pieces = [head, *itertools.repeat(PIECE, PIECES - 1)]
-        seconds = (GRACE_SECONDS + LAST_SECONDS + 0.5) / PIECES
+        seconds = (GRACE_SECONDS + AFTER_GRACE_SECONDS + 0.5) / PIECES
         sending = asyncio.create_task(
             asyncio.to_thread(send_at_leisure, world, pieces, seconds)
         )
