--- a/eelgrassrack/entry/chat.py
+++ b/eelgrassrack/entry/chat.py
@@ -105,7 +105,7 @@
             organisation=organisation,
             snapshot=snapshot,
             route=route,
-            deadline=self._admission.find_deadline(remaining=arrival.options.remaining),
+            deadline=self._admission.find_deadline(remaining=arrival.terms.within),
             ledger=self._find_ledger(),
         )
 
@@ -120,7 +120,7 @@
             organisation=organisation,
             snapshot=snapshot,
             tokens=arrival.tokens,
-            remaining=arrival.options.remaining,
+            remaining=arrival.terms.within,
             versions=[
                 tuple(version.name for version in step.active) for step in route.steps
             ],
