--- a/test/entry/test_bad_input.py
+++ b/test/entry/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad requests and bad engines: each gets a clear error and costs no other."""
+"""Tests that bad requests and bad engines harm no other request."""
 
 import asyncio
 import json
@@ -42,7 +42,7 @@
 
 
 def check_unharmed(world):
-    """Hold that nobody else was harmed, then or later."""
+    """Check that other requests are answered and that no promise is broken."""
     world.ask("question after")
     assert all(answer.is_whole for answer in world.finish())
     world.check_all()
@@ -96,11 +96,11 @@
 
 
 @pytest.mark.parametrize("name", REFUSED)
-def test_a_bad_request_is_refused_and_costs_no_other(world, name):
-    """One caller's requests are wrong, and it sends them all the time.
+def test_a_bad_request_is_refused_and_harms_no_other(world, name):
+    """A caller sends an invalid request.
 
-    It is told what is wrong and that nothing was run; trying again is no
-    use, so it is given no time for that.  Others get their answers.
+    The response names the error and says that nothing was run.  It has no
+    Retry-After, because a retry is useless.  Other callers get their answers.
     """
     body, fields, status, code = REFUSED[name]
     world.ask("question before", tokens=40)
@@ -125,12 +125,12 @@
 
 @pytest.mark.parametrize("stream", [False, True])
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_bad_engine_costs_its_own_request_only(world, name, stream):
-    """An engine's answer is wrong; then it is right again.
+def test_a_bad_engine_fails_only_its_own_request(world, name, stream):
+    """An engine's answer is invalid once.
 
-    Its caller is told that the request ran and came to nothing, by the
-    status or, if the answer had begun, by an error event and a cut, so that
-    no client takes it for whole.  The next request is answered.
+    Its caller is told that the request ran without a result: by the status,
+    or, if the answer had begun, by an error event and a closed connection, so
+    that no client takes it for complete.  The next request is answered.
     """
     fault, status = FAULTS[name]
     engine = world.standin("tutor-east")
@@ -138,7 +138,7 @@
     fields = {"Eelgrassrack-Deadline": "1"} if status == 504 else {}
     answer = send(world, encode(stream=stream), **fields)
     if stream and fault == "end_early":
-        # It had begun, so its status was sent: the connection is cut.
+        # The status was sent already, so the connection is closed.
         assert answer.status == 0 or b'"error"' in answer.body
     else:
         assert (answer.status, answer.run) == (status, "ran"), answer
@@ -168,10 +168,10 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n"
 
 
-def test_callers_that_send_slowly_hold_up_nobody(world):
-    """Fifty callers send half of their requests and then nothing.
+def test_callers_that_send_slowly_dont_delay_others(world):
+    """Fifty callers send half of their requests and then pause.
 
-    Others are answered meanwhile, and the slow ones still are once they
+    Other callers are answered in the meantime, and the slow ones once they
     have sent the rest.
     """
     body = encode(stream=False)
@@ -198,22 +198,22 @@
     assert world.count_starts(prompt="why") == 50
 
 
-def test_a_caller_that_vanishes_frees_its_slot(world):
+def test_a_caller_that_disconnects_frees_its_slot(world):
     """A caller closes its connection in the middle of a long answer.
 
-    The engine's slot is free for others at once, and what it made is
-    billed.
+    The engine's slot is free for others at once, and the tokens generated so
+    far are billed.
     """
     engine = world.standin("tutor-east")
 
-    async def ask_and_vanish():
+    async def ask_and_disconnect():
         body = encode(stream=True, max_tokens=4000)
         reader, writer = await connect(world)
         writer.write(build_head(body) + body)
         await reader.readuntil(b"data: ")
         writer.close()
 
-    world.run(ask_and_vanish())
+    world.run(ask_and_disconnect())
     world.wait(lambda: engine.cancelled == 1 and not engine.running)
     counts = world.entry().core.meter.counts
     world.wait(lambda: counts["callers_gone"] == 1)
@@ -222,7 +222,7 @@
     assert all(answer.is_whole for answer in world.finish())
 
 
-def test_a_caller_that_vanishes_stops_nothing_that_may_not_be_repeated(world):
+def test_a_run_that_isnt_repeatable_goes_on_when_its_caller_disconnects(world):
     """A caller closes its connection while its credential is issued.
 
     The run goes on to its end, and a resend gets its answer.
@@ -230,7 +230,7 @@
     service = world.standin("registry")
     service.delay = 0.3
 
-    async def issue_and_vanish():
+    async def issue_and_disconnect():
         fields = {"Idempotency-Key": "one"}
         _, writer = await connect(world)
         writer.write(build_head(b"one", ISSUE, **fields) + b"one")
@@ -238,18 +238,18 @@
             await asyncio.sleep(0.01)
         writer.close()
 
-    world.run(issue_and_vanish())
+    world.run(issue_and_disconnect())
     world.issue("one")
     assert [answer.status for answer in world.finish()] == [200]
     assert world.count_effects("one") == 1
     world.check_all()
 
 
-def test_a_caller_that_takes_nothing_is_cut(monkeypatch):
+def test_the_connection_of_a_caller_that_reads_nothing_is_closed(monkeypatch):
     """A caller stops reading, and its answer fills the entry's memory.
 
-    It is cut when it has taken nothing for a while, and nothing more is
-    kept for it.
+    After `STALL_SECONDS` its connection is closed, and nothing more is
+    buffered for it.
     """
     now = 0.0
     written = []
@@ -260,9 +260,9 @@
     )
     loop = types.SimpleNamespace(time=lambda: now)
     monkeypatch.setattr(responder.asyncio, "get_running_loop", lambda: loop)
-    taker = responder.HttpResponder(handler=handler)
+    stalled = responder.HttpResponder(handler=handler)
     for seconds in (0.0, responder.STALL_SECONDS, responder.STALL_SECONDS + 1, 99.0):
         now = seconds
-        taker.write(b"piece")
-    assert taker.has_ended
+        stalled.write(b"piece")
+    assert stalled.has_ended
     assert len(written) == 3
--- a/test/entry/test_configuration.py
+++ b/test/entry/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of how an entry that was paused learns what is in force."""
+"""Tests of how an entry confirms its document after a pause of its process."""
 
 import asyncio
 
@@ -18,44 +18,47 @@
 from ..promises.world import TUTOR_EAST, World
 
 
-class Away:
-    """The document's head while the object API is away."""
+class UnavailableHead:
+    """The document's head while the object API is unavailable."""
 
     async def read(self):
         return Unavailable(reason="outage")
 
 
 def pause(configuration):
-    """Let a configuration wake from a pause."""
+    """Simulate a pause of the process that has just ended."""
     configuration._ticked_at -= MAX_TICK_GAP_SECONDS + 1
     configuration.tick()
 
 
-def make_paused(asked, *, head=None, wakes=True):
-    """Return a configuration at revision 3, if wanted one that has just woken."""
+def make_configuration(asked, *, head=None, is_paused=True):
+    """Return a configuration at revision 3, by default just after a pause.
+
+    `asked` collects the revisions with which it asks its peers.
+    """
     configuration = Configuration(
-        head=head or Away(),
+        head=head or UnavailableHead(),
         invariants=Invariants(strict=True),
         announce=lambda snapshot: None,
         ask_peer=lambda address, revision: None,
         ask_peers=lambda revision, question: asked.append(revision),
     )
     configuration.take(Snapshot(revision=3))
-    if wakes:
+    if is_paused:
         pause(configuration)
     return configuration
 
 
-def test_old_words_confirm_nothing():
-    """An entry wakes in an outage, and finds what peers said before in its buffer.
+def test_buffered_messages_from_before_a_pause_confirm_nothing():
+    """After a pause an entry reads messages that peers sent before it.
 
-    A version may have been withdrawn since. Nobody answers what it asks
-    now, so it waits as long as it may before it serves.
+    A version may have been withdrawn since. The object API is unavailable and
+    nobody answers the entry's question, so it waits for `CONFIRM_SECONDS`.
     """
 
     async def scenario():
         asked = []
-        configuration = make_paused(asked)
+        configuration = make_configuration(asked)
         configuration.note_peer_revision(3, "peer", 0)
         began = asyncio.get_running_loop().time()
         await configuration.wait_confirmed()
@@ -66,15 +69,16 @@
     assert asked == [3]
 
 
-def test_a_peer_tells_what_it_missed():
-    """An entry wakes in an outage, after a version was withdrawn.
+def test_a_peer_sends_the_document_that_was_missed_in_a_pause():
+    """A version is withdrawn while an entry is paused.
 
-    Its peers know. It serves nobody by the old document once they said so.
+    The object API is unavailable, but a peer has the new document. The entry
+    must not serve requests with the old one after the peer has answered.
     """
 
     async def scenario():
         asked = []
-        configuration = make_paused(asked)
+        configuration = make_configuration(asked)
         waiting = asyncio.ensure_future(configuration.wait_confirmed())
         while not asked:
             await asyncio.sleep(0.01)
@@ -89,8 +93,8 @@
     assert asyncio.run(scenario()) == 4
 
 
-class Watched:
-    """A head whose watch ends when the test says so."""
+class ControlledHead:
+    """A head whose watch returns when the test sets its result."""
 
     def __init__(self):
         self.ends = asyncio.get_running_loop().create_future()
@@ -103,14 +107,15 @@
 
 
 def test_a_watch_from_before_a_pause_confirms_nothing():
-    """An entry wakes and reads that nothing had changed before it was paused.
+    """After a pause an entry reads the result of a watch from before it.
 
-    A version may have been withdrawn since, and would be served at once.
+    It says "unchanged", but a version may have been withdrawn since, and the
+    entry would serve it.
     """
 
     async def scenario():
-        head = Watched()
-        configuration = make_paused([], head=head, wakes=False)
+        head = ControlledHead()
+        configuration = make_configuration([], head=head, is_paused=False)
         following = asyncio.ensure_future(configuration.follow())
         await asyncio.sleep(0)
         pause(configuration)
@@ -124,12 +129,12 @@
     assert not asyncio.run(scenario())
 
 
-def test_words_from_before_a_pause_confirm_nothing_however_late_they_come():
-    """What a peer said before a withdrawal comes after the entry has asked."""
+def test_late_messages_from_before_a_pause_confirm_nothing():
+    """A message that a peer sent before a withdrawal arrives after the question."""
 
     async def scenario():
         asked = []
-        configuration = make_paused(asked)
+        configuration = make_configuration(asked)
         waiting = asyncio.ensure_future(configuration.wait_confirmed())
         while not asked:
             await asyncio.sleep(0.01)
@@ -143,13 +148,13 @@
     assert not asyncio.run(scenario())
 
 
-def test_an_entry_in_doubt_vouches_for_nothing(monkeypatch):
-    """An agent and its entry wake together, and the entry confirms old facts.
+def test_an_unconfirmed_entry_confirms_nothing_to_agents(monkeypatch):
+    """An agent and its entry are paused together, and the agent asks the entry.
 
-    The version that was withdrawn meanwhile would be started at the agent on
-    the word of an entry that doesn't know itself.
+    If the entry answered before its own revision is confirmed, the agent would
+    start a version that was withdrawn during the pause.
     """
-    heard = []
+    received = []
     world = World(monkeypatch)
     try:
         world.start(plans=[TUTOR_EAST], entries=1)
@@ -159,14 +164,14 @@
             asking = Mailbox(
                 address="tcp://127.0.0.1:0",
                 incarnation="x.1",
-                deliver=lambda parcel: heard.extend(parcel.messages),
+                deliver=lambda batch: received.extend(batch.messages),
             )
             asking.open()
             world.system.table.outage = True
             pause(entry.core.configuration)
             asking.post(to=entry.address, message=Hello(question=7))
             await asyncio.sleep(CONFIRM_SECONDS / 2)
-            early = list(heard)
+            early = list(received)
             await asyncio.sleep(CONFIRM_SECONDS)
             asking.close()
             return early
@@ -175,4 +180,4 @@
     finally:
         world.close()
     assert not early
-    assert [m.answers for m in heard if isinstance(m, Presence)] == [7]
+    assert [m.answers for m in received if isinstance(m, Presence)] == [7]
--- a/test/entry/test_directory.py
+++ b/test/entry/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the agents that an entry knows."""
+"""Tests of the endpoints that an entry knows."""
 
 import msgspec
 
@@ -70,7 +70,7 @@
     )
 
 
-def test_only_agents_of_the_right_pool_that_beat_are_found():
+def test_only_reporting_endpoints_of_the_right_pool_are_found():
     a, b, c = make_instance("a"), make_instance("b"), make_instance("c", pool="s")
     directory, _ = make_directory(a, b, c)
     assert find(directory, 0.0) is NoEndpointReason.SILENT
@@ -82,10 +82,10 @@
 
 
 def test_the_reason_for_no_endpoint_comes_from_the_whole_list():
-    """The only agent that beats is in a domain that was taken out.
+    """The only agent that sends heartbeats is in a domain taken out of service.
 
-    Another one is in service and silent: the caller is told that, and not
-    that all domains are out.
+    Another one is in service but silent.  The reason must be the silent
+    endpoint, and not that all domains are out.
     """
     a, b = make_instance("a", domain="out"), make_instance("b")
     directory, _ = make_directory(a)
@@ -98,11 +98,11 @@
     ) is (NoEndpointReason.NONE_KNOWN)
 
 
-def test_an_agent_that_falls_silent_is_lost_and_found_again_when_it_beats():
-    """An agent's connection is cut for ten seconds.
+def test_a_silent_agent_is_lost_until_its_next_heartbeat():
+    """An agent's connection is broken for ten seconds.
 
-    Its work counts as lost once, and it gets requests again after its next
-    heartbeat.
+    Its attempts are reported as lost once, and it gets requests again after
+    its next heartbeat.
     """
     a = make_instance("a")
     directory, lost = make_directory(a)
@@ -118,7 +118,7 @@
     assert find(directory, 10.0) == {"a"}
 
 
-def test_an_endpoint_off_the_list_is_forgotten_once_its_agent_is_silent():
+def test_an_unlisted_endpoint_is_removed_once_its_agent_is_silent():
     a, b = make_instance("a"), make_instance("b")
     directory, lost = make_directory(a, b)
     beat(directory, a, 0.0)
--- a/test/entry/test_dispatcher.py
+++ b/test/entry/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of what a step of a request comes to after several attempts."""
+"""Tests of the result of a step after one or more attempts."""
 
 import asyncio
 import random
@@ -51,11 +51,11 @@
 
 
 class FakeEntry:
-    """A dispatcher before agents that say what the test wants."""
+    """A dispatcher with agents that send the given replies, one per start."""
 
-    def __init__(self, words):
+    def __init__(self, replies):
         loop = asyncio.get_running_loop()
-        self.words = list(words)
+        self.replies = list(replies)
         self.started = []
         self.snapshot = SNAPSHOT
         self.channels = Channels(invariants=Invariants(strict=True))
@@ -100,9 +100,9 @@
         match message:
             case Start(attempt=attempt, agent=agent):
                 self.started.append(to)
-                word = self.words.pop(0)(attempt)
+                reply = self.replies.pop(0)(attempt)
                 asyncio.get_running_loop().call_soon(
-                    self.channels.take, word, agent, 0.0
+                    self.channels.take, reply, agent, 0.0
                 )
 
 
@@ -115,25 +115,26 @@
 
 
 def forget(attempt):
+    """Reply as an agent that was restarted and lost the attempt."""
     return UnknownAttempt(attempt=attempt)
 
 
 def withdraw(entry):
-    """Have the entry know that the version is withdrawn."""
+    """Put a snapshot in force in which the version is withdrawn."""
     version = Version(name=VERSION, state=VersionState.WITHDRAWN)
     entry.snapshot = msgspec.structs.replace(
         SNAPSHOT, revision=2, versions={VERSION: version}
     )
 
 
-def ask(*words, is_withdrawn=False):
-    """Return what the caller is told and how often the step was sent.
+def ask(*replies, is_withdrawn=False):
+    """Run a step; return the response, and the number of attempts sent.
 
-    With `is_withdrawn` its version is withdrawn as soon as the step was sent.
+    With `is_withdrawn` the version is withdrawn just after the first attempt.
     """
 
-    async def play():
-        entry = FakeEntry(words)
+    async def run():
+        entry = FakeEntry(replies)
         if is_withdrawn:
             asyncio.get_running_loop().call_soon(withdraw, entry)
         job = Job(
@@ -145,7 +146,7 @@
         )
         return judge_outcome(await entry.dispatcher.run(job=job)), len(entry.started)
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
 @pytest.mark.parametrize(
@@ -160,10 +161,10 @@
     "second", [Refusal.ENGINE_DOWN, Refusal.DOMAIN_OUT, Refusal.WITHDRAWN]
 )
 def test_a_refused_retry_does_not_hide_that_the_request_ran(first, run, second):
-    """An engine crashes under a request, and its retry is refused.
+    """An engine crashes while it runs a request, and the retry is refused.
 
-    The version was withdrawn meanwhile, or the next endpoint is down too. A
-    caller that is told "not run" sends again what has had its effect.
+    The version was withdrawn in the meantime, or the next engine is down too.
+    If told "not run", the caller would repeat a request that has had its effect.
     """
     told, sent = ask(first, refuse(second), refuse(second), refuse(second))
     assert told.run is run
@@ -177,29 +178,29 @@
 
 
 @pytest.mark.parametrize("refusal", [Refusal.STALE, Refusal.FULL, Refusal.ENGINE_DOWN])
-def test_a_withdrawn_version_is_told_as_such_whatever_an_agent_says(refusal):
-    """An agent is in doubt after a pause, and its entry knows what is in force.
+def test_a_withdrawn_version_is_reported_whatever_the_agents_refusal(refusal):
+    """An agent refuses after a pause because its facts may be stale.
 
-    Told "stale", a caller would come again and again for what is gone for good.
+    The entry knows that the version is withdrawn. If told "stale", the caller
+    would retry a request that can't succeed.
     """
     told, sent = ask(*[refuse(refusal)] * 3, is_withdrawn=True)
     assert (told.status, told.code, told.run) == (410, "version_withdrawn", Run.NOT_RUN)
     assert sent == 1
 
 
-def test_a_request_that_ran_is_said_so_though_its_version_is_withdrawn():
+def test_a_request_that_ran_is_reported_so_if_its_version_is_withdrawn():
     told, sent = ask(end(Finish.ENGINE_CRASHED), is_withdrawn=True)
     assert told.run is Run.RAN
     assert sent == 1
 
 
 @pytest.mark.parametrize("finish", [Finish.CANCELLED, Finish.DEADLINE])
-def test_an_answer_cut_by_its_deadline_is_told_as_such(finish):
+def test_an_answer_that_misses_its_deadline_is_reported_so(finish):
     """A request's deadline passes while it runs.
 
-    Shortly before, the entry withdraws it, and the agent's word that it is
-    cancelled comes first. A caller that is told of a failed endpoint and to
-    try again sends it once more, though its time is up.
+    The entry cancels it shortly before, and the agent confirms this. If told
+    that the endpoint failed, the caller would retry although its time is up.
     """
     told, sent = ask(end(finish))
     assert (told.status, told.code, told.run) == (504, "deadline", Run.RAN)
@@ -207,12 +208,12 @@
     assert sent == 1
 
 
-def test_an_agent_is_given_the_time_until_the_entry_withdraws():
+def test_an_agents_deadline_is_when_the_entry_cancels():
     """A request reaches the head of the queue shortly before its deadline.
 
-    The entry withdraws it a little before that, to learn what became of it.
-    Started in between, it would be cut for certain, and its caller would get
-    a part of an answer in place of a refusal.
+    The entry cancels requests a little before their deadline, to get the
+    outcome. If the agent started this one in between, the caller would get a
+    part of an answer instead of a refusal.
     """
     job = Job(request="r", organisation="o", snapshot=SNAPSHOT, deadline=10.0)
     target = AttemptTarget(attempt="a", endpoint="x", agent="x.1", address="x")
--- a/test/entry/test_last_words.py
+++ b/test/entry/test_last_words.py
@@ -1,4 +1,4 @@
-"""What callers are told whose requests come as an entry ends their connection."""
+"""Tests of requests that arrive while a stopping entry closes their connection."""
 
 import asyncio
 import itertools
@@ -19,7 +19,7 @@
     "Idempotency-Key: late\r\nContent-Length: {size}\r\n\r\n"
 )
 REQUEST = HEAD.format(size=4).encode() + b"late"
-# More than a connection takes in before anyone reads from it.
+# More than the socket buffers of a connection hold.
 LONG_BODY = 8_000_000
 PIECES = 50
 PIECE = b"x" * 10_000
@@ -48,10 +48,10 @@
 
 @pytest.mark.parametrize("is_kept", [True, False])
 @pytest.mark.parametrize("sent", [0, 1, len(HEAD) - 10])
-def test_a_request_that_comes_when_the_entry_is_gone_is_said_not_to_have_run(
+def test_a_request_that_arrives_after_the_stop_is_answered_not_run(
     world, is_kept, sent
 ):
-    """Its connection was open all through the stop, with part of a head on it."""
+    """Its connection stays open during the stop, with a part of the headers sent."""
 
     async def ask():
         reader, writer = await connect(world)
@@ -70,26 +70,26 @@
     assert not world.count_effects("late")
 
 
-def test_a_caller_in_the_queue_of_the_port_is_told(world, monkeypatch):
-    """It connects, and sends a request, in the moment in which the entry is done."""
+def test_a_connection_in_the_listen_backlog_is_answered(world, monkeypatch):
+    """A caller connects and sends a request just as the entry stops listening."""
     callers = []
     end_requests = EntryDaemon._end_requests
     host, _, port = world.entry().url.removeprefix("http://").rpartition(":")
 
-    async def come(entry):
+    async def connect_first(entry):
         callers.append(socket.create_connection((host, int(port))))
         callers[0].sendall(REQUEST)
         await end_requests(entry)
 
-    monkeypatch.setattr(EntryDaemon, "_end_requests", come)
+    monkeypatch.setattr(EntryDaemon, "_end_requests", connect_first)
     world.run(world.system.stop_entry("entry-0"))
     with callers[0] as caller:
         assert caller.recv(12) == b"HTTP/1.1 503"
     assert not world.count_effects("late")
 
 
-def send_at_leisure(world, pieces, pause=0.0):
-    """Send everything before reading, as simple callers do; return what comes."""
+def send_then_read(world, pieces, pause=0.0):
+    """Send all pieces before reading; return the start of the response."""
     host, _, port = world.entry().url.removeprefix("http://").rpartition(":")
     with socket.create_connection((host, int(port)), timeout=5) as caller:
         for piece in pieces:
@@ -98,25 +98,26 @@
         return caller.recv(13)
 
 
-def test_a_caller_that_sends_on_gets_the_answer_to_half_a_request(world):
-    """Its body is refused as too long, and it reads only once it has sent all.
+def test_a_refused_caller_that_keeps_sending_gets_its_response(world):
+    """A body is refused as too large, but the caller sends all of it before reading.
 
-    The rest of the body would reset the connection, and the answer away.
+    If the entry closed the connection, the rest of the body would reset it, and
+    the caller would lose the response.
     """
     data = HEAD.format(size=LONG_BODY).encode() + b"x" * LONG_BODY
-    work = asyncio.to_thread(send_at_leisure, world, [data])
+    work = asyncio.to_thread(send_then_read, world, [data])
     assert world.run(work) == b"HTTP/1.1 413 "
 
 
-def test_a_caller_that_sends_on_is_told_that_the_entry_ends(world):
-    """Its body comes slowly, and goes on coming when it has been refused."""
+def test_a_caller_that_keeps_sending_is_told_that_the_entry_stops(world):
+    """The caller sends its body slowly, and goes on after it has been refused."""
     head = HEAD.format(size=PIECES * len(PIECE)).encode()
 
     async def ask():
         pieces = [head, *itertools.repeat(PIECE, PIECES - 1)]
         seconds = (GRACE_SECONDS + AFTER_GRACE_SECONDS + 0.5) / PIECES
         sending = asyncio.create_task(
-            asyncio.to_thread(send_at_leisure, world, pieces, seconds)
+            asyncio.to_thread(send_then_read, world, pieces, seconds)
         )
         await asyncio.sleep(0.1)
         await world.system.stop_entry("entry-0")
--- a/test/entry/test_responder.py
+++ b/test/entry/test_responder.py
@@ -1,4 +1,4 @@
-"""Tests of the caller's side of a request, over a real connection."""
+"""Tests of the HTTP responder over a real connection."""
 
 import asyncio
 import hashlib
@@ -16,7 +16,7 @@
 
 
 class Writer(web.RequestHandler):
-    """Write pieces in one go and keep the responder for the test."""
+    """Writes all pieces and passes its responder to the test."""
 
     def initialize(self, *, pieces: list[bytes], responders: list) -> None:
         self.pieces = pieces
@@ -60,10 +60,10 @@
 
 @pytest.mark.parametrize(("version", "is_chunked"), [("1.1", True), ("1.0", False)])
 def test_a_slow_caller_gets_every_byte_in_order(version, is_chunked):
-    """A caller reads slower than the engine generates.
+    """A caller reads more slowly than the engine generates.
 
-    Its socket takes only a part of a piece, and the rest has to follow
-    before the next one, or the caller would see events torn and mixed.
+    Its socket accepts only a part of a piece.  The rest must be sent before
+    the next piece, or the events would be corrupted.
     """
     pieces = [b"%d " % number + PIECE for number in range(PIECES)]
     expected = hashlib.sha256(b"".join(pieces)).digest()
@@ -87,10 +87,10 @@
 
 
 def test_a_caller_that_resets_its_connection_ends_the_request():
-    """A caller goes away in the middle of a stream.
+    """A caller disconnects in the middle of a stream.
 
-    The write that finds it gone must not raise into the code that relays
-    to all callers: theirs would miss what came in the same parcel.
+    The write that fails must not raise in the code that serves all callers,
+    or other callers would miss the pieces in the same batch.
     """
 
     async def run() -> None:
--- a/test/entry/test_stop.py
+++ b/test/entry/test_stop.py
@@ -1,4 +1,4 @@
-"""Requests that are under way, or still come, when an entry's grace ends."""
+"""Tests of requests that run, or arrive, while an entry stops."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 
 
 def stop(world):
-    """Tell entry 0 to stop; return its URL and the end of its stop."""
+    """Tell entry 0 to stop; return its URL and the task of the stop."""
     url = world.entry().url
     task = world.loop.create_task(world.system.stop_entry("entry-0"))
     world.run(asyncio.sleep(0.05))
@@ -64,7 +64,7 @@
 
 
 async def read_all(url, request):
-    """Send a request over a connection of its own and read until it closes."""
+    """Send a request over a new connection and read until it closes."""
     reader, writer = await connect(url)
     writer.write(request)
     data = await reader.read()
@@ -73,13 +73,13 @@
 
 
 def ask_late(world, url, **fields):
-    """Ask an entry that is stopping a short question."""
+    """Send a short request to an entry that is stopping."""
     work = world.callers["school"].chat(url=url, model="tutor", prompt="late", **fields)
     return world.run(work)
 
 
 def test_a_request_that_runs_at_the_end_of_the_grace_is_answered(world):
-    """A stop closes the connection of a request that runs, without a word."""
+    """Guards against a stop that doesn't answer a running request."""
     world.start(plans=[TUTOR_EAST])
     world.hold_engines()
     sent = world.ask("runs", stream=False)
@@ -90,8 +90,8 @@
     assert (answer.status, answer.run, answer.code) == (502, "ran", "stopping")
 
 
-def test_a_request_that_waits_at_the_end_of_the_grace_is_told_so(world):
-    """A stop closes the connection of a request that waits, without a word."""
+def test_a_request_that_waits_at_the_end_of_the_grace_is_refused(world):
+    """Guards against a stop that doesn't answer a queued request."""
     world.start(plans=[TUTOR_EAST], document=make_narrow())
     world.hold_engines()
     world.ask("fills", entry=1)
@@ -109,8 +109,8 @@
     assert not world.count_starts(prompt="waits")
 
 
-def test_a_stream_that_is_cut_at_the_end_of_the_grace_says_so(world):
-    """A stop ends a stream in the middle, without its error event."""
+def test_a_stream_that_is_cut_off_by_the_stop_ends_with_an_error_event(world):
+    """Guards against a stop that ends a stream without an error event."""
     world.start(plans=[TUTOR_EAST])
 
     async def read():
@@ -127,8 +127,8 @@
     assert b'"error"' in world.run(read())
 
 
-def test_a_service_request_that_runs_at_the_end_of_the_grace_is_told_so(world):
-    """A stop leaves the caller of what may not be repeated without a word."""
+def test_a_service_request_that_runs_at_the_end_of_the_grace_is_answered(world):
+    """Guards against a stop that doesn't answer a non-repeatable request."""
     world.start(plans=[REGISTRY])
     world.standin("registry").answer_delay = LONG_RUN_SECONDS
     sent = world.issue("key")
@@ -143,7 +143,7 @@
 
 
 def test_a_request_that_waits_for_the_store_at_the_end_is_answered(world, monkeypatch):
-    """A stop closes the connection of a caller whose session is looked up."""
+    """Guards against a stop that doesn't answer while a session is looked up."""
     world.start(plans=[TUTOR_EAST])
 
     async def wait(*unused):
@@ -159,7 +159,7 @@
 
 
 def test_a_request_that_is_still_being_sent_is_answered(world):
-    """A stop closes the connection of a caller that still sends its body."""
+    """Guards against a stop that doesn't answer a caller that sends its body."""
     world.start(plans=[TUTOR_EAST])
 
     async def read():
@@ -172,8 +172,8 @@
     assert world.run(read()).startswith(b"HTTP/1.1 503")
 
 
-def test_a_stream_that_hasnt_begun_when_the_stop_does_isnt_cut(world):
-    """A stopping entry begins a stream that its end then cuts."""
+def test_a_stream_that_hasnt_begun_when_the_stop_begins_is_buffered(world):
+    """Guards against a stopping entry that begins a stream and then cuts it off."""
     world.start(plans=[TUTOR_EAST])
     engine = world.standin("tutor-east")
     world.hold_engines()
@@ -193,8 +193,8 @@
     assert world.run(read()).startswith(b"HTTP/1.1 502")
 
 
-def test_a_stop_that_is_hurried_answers_too(world, monkeypatch):
-    """A second signal ends the wait and closes connections without a word."""
+def test_a_hurried_stop_answers_too(world, monkeypatch):
+    """Guards against a second signal that closes connections unanswered."""
     monkeypatch.setattr(system, "QUICK_GRACE", LONG_GRACE_SECONDS)
     world.start(plans=[TUTOR_EAST])
     world.hold_engines()
@@ -211,7 +211,7 @@
 
 
 def test_a_late_stream_that_cant_end_in_time_is_refused(world):
-    """A stopping entry takes a stream that its end then cuts."""
+    """Guards against a stopping entry that admits a stream and then cuts it off."""
     world.start(plans=[TUTOR_EAST])
     url, stopping = stop(world)
     data = world.run(read_all(url, build_chat("late", tokens=2_000)))
@@ -220,8 +220,8 @@
     assert not world.count_starts()
 
 
-def test_a_late_stream_that_takes_longer_than_expected_isnt_cut(world, monkeypatch):
-    """A stopping entry passes on a stream because of an estimate."""
+def test_a_late_stream_that_takes_longer_than_expected_is_buffered(world, monkeypatch):
+    """Guards against a stream that is begun, and cut off, after a wrong estimate."""
     monkeypatch.setattr(system, "QUICK_GRACE", 3.0)
     world.start(plans=[TUTOR_EAST])
     engine = world.standin("tutor-east")
@@ -234,7 +234,7 @@
 
 
 def test_a_late_request_that_may_not_be_repeated_is_refused(world):
-    """A stopping entry takes what it may cut and nobody may send again."""
+    """Guards against a stopping entry that cuts off a non-repeatable run."""
     world.start(plans=[REGISTRY])
     url, stopping = stop(world)
     work = world.callers["school"].send(
@@ -248,8 +248,8 @@
     assert not world.count_effects("late")
 
 
-def test_a_late_request_with_little_time_is_served(world):
-    """A stopping entry refuses what is surely over before it ends."""
+def test_a_late_request_with_a_short_deadline_is_served(world):
+    """Guards against a stopping entry that refuses requests with time to end."""
     world.start(plans=[TUTOR_EAST])
     url, stopping = stop(world)
     answer = ask_late(world, url, fields=SHORT_DEADLINE, max_tokens=1)
@@ -258,7 +258,7 @@
 
 
 def test_a_late_request_that_is_expected_to_end_in_time_is_served(world, monkeypatch):
-    """A stopping entry refuses everything, and callers spend their tries."""
+    """Guards against refusals of all late requests, which use up retries."""
     monkeypatch.setattr(system, "QUICK_GRACE", LONG_GRACE_SECONDS)
     world.start(plans=[TUTOR_EAST])
     url, stopping = stop(world)
@@ -268,7 +268,7 @@
 
 
 def test_a_slow_caller_gets_its_whole_answer_from_a_stopping_entry(world, monkeypatch):
-    """A stop cuts an answer that is whole but hasn't left yet."""
+    """Guards against a stop that cuts off a complete but unsent answer."""
     monkeypatch.setattr(system, "QUICK_GRACE", LONG_GRACE_SECONDS)
     world.start(plans=[REGISTRY])
     for listening in world.entry()._server._sockets.values():
