--- a/eelgrassrack/entry/dispatcher.py
+++ b/eelgrassrack/entry/dispatcher.py
@@ -267,7 +267,7 @@
 
 
 def _select_result(last: DispatchResult | None, new: DispatchResult) -> DispatchResult:
-    """Return which of two attempts' results holds for the whole step.
+    """Return which of two attempts' results is the result of the step.
 
     If an attempt fails after its start and its retry is refused, the refusal
     says "not run" of the retry only.  The caller must not be told this of the
--- a/test/entry/test_dispatcher.py
+++ b/test/entry/test_dispatcher.py
@@ -166,14 +166,14 @@
     The version was withdrawn in the meantime, or the next engine is down too.
     If told "not run", the caller would repeat a request that has had its effect.
     """
-    told, sent = ask(first, refuse(second), refuse(second), refuse(second))
-    assert told.run is run
+    response, sent = ask(first, refuse(second), refuse(second), refuse(second))
+    assert response.run is run
     assert sent >= 2
 
 
 def test_a_request_that_never_started_was_not_run():
-    told, sent = ask(refuse(Refusal.FULL), refuse(Refusal.WITHDRAWN))
-    assert (told.run, told.code) == (Run.NOT_RUN, "version_withdrawn")
+    response, sent = ask(refuse(Refusal.FULL), refuse(Refusal.WITHDRAWN))
+    assert (response.run, response.code) == (Run.NOT_RUN, "version_withdrawn")
     assert sent == 2
 
 
@@ -184,14 +184,18 @@
     The entry knows that the version is withdrawn. If told "stale", the caller
     would retry a request that can't succeed.
     """
-    told, sent = ask(*[refuse(refusal)] * 3, is_withdrawn=True)
-    assert (told.status, told.code, told.run) == (410, "version_withdrawn", Run.NOT_RUN)
+    response, sent = ask(*[refuse(refusal)] * 3, is_withdrawn=True)
+    assert (response.status, response.code, response.run) == (
+        410,
+        "version_withdrawn",
+        Run.NOT_RUN,
+    )
     assert sent == 1
 
 
 def test_a_request_that_ran_is_reported_so_if_its_version_is_withdrawn():
-    told, sent = ask(end(Finish.ENGINE_CRASHED), is_withdrawn=True)
-    assert told.run is Run.RAN
+    response, sent = ask(end(Finish.ENGINE_CRASHED), is_withdrawn=True)
+    assert response.run is Run.RAN
     assert sent == 1
 
 
@@ -202,9 +206,9 @@
     The entry cancels it shortly before, and the agent confirms this. If told
     that the endpoint failed, the caller would retry although its time is up.
     """
-    told, sent = ask(end(finish))
-    assert (told.status, told.code, told.run) == (504, "deadline", Run.RAN)
-    assert told.retry_after == 0
+    response, sent = ask(end(finish))
+    assert (response.status, response.code, response.run) == (504, "deadline", Run.RAN)
+    assert response.retry_after == 0
     assert sent == 1
 
 
