--- a/eelgrassrack/entry/configuration.py
+++ b/eelgrassrack/entry/configuration.py
@@ -111,7 +111,7 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether the revision was confirmed since the last pause."""
+        """Whether the revision counts as confirmed since the last pause."""
         return self._confirmed.is_set()
 
     async def follow(self) -> None:
