--- a/test/entry/test_dispatcher.py
+++ b/test/entry/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of what a step of a request comes to after several attempts."""
+"""Tests of the result of a step after one or more attempts."""
 
 import asyncio
 import random
@@ -16,16 +16,16 @@
     VersionState,
 )
 from eelgrassrack.document.snapshot import Snapshot
-from eelgrassrack.entry.channels import LAST_WORD, Channels
+from eelgrassrack.entry.channels import CANCEL_REPLY_SECONDS, Channels
 from eelgrassrack.entry.directory import Directory
 from eelgrassrack.entry.dispatcher import Dispatcher
 from eelgrassrack.entry.headers import Run
 from eelgrassrack.entry.identity import Identity
-from eelgrassrack.entry.jobs import Job, Placed, build_start
+from eelgrassrack.entry.jobs import AttemptTarget, Job, build_start
 from eelgrassrack.entry.meter import Meter
 from eelgrassrack.entry.outcomes import judge_outcome
 from eelgrassrack.entry.picker import Picker
-from eelgrassrack.entry.suspects import Suspects
+from eelgrassrack.entry.suspects import SuspectRequests
 from eelgrassrack.invariants import Invariants
 from eelgrassrack.mailbox.messages import (
     Ended,
@@ -50,12 +50,12 @@
 )
 
 
-class Entry:
-    """A dispatcher before agents that say what the test wants."""
+class FakeEntry:
+    """A dispatcher with agents that send the given replies, one per start."""
 
-    def __init__(self, words):
+    def __init__(self, replies):
         loop = asyncio.get_running_loop()
-        self.words = list(words)
+        self.replies = list(replies)
         self.started = []
         self.snapshot = SNAPSHOT
         self.channels = Channels(invariants=Invariants(strict=True))
@@ -93,16 +93,16 @@
             invariants=Invariants(strict=True),
             meter=Meter(metrics=Metrics(settings=MetricSettings())),
             post=self.post,
-            suspects=Suspects(clock=loop.time, spread=lambda fingerprints: None),
+            suspects=SuspectRequests(clock=loop.time, spread=lambda fingerprints: None),
         )
 
     def post(self, to, message):
         match message:
             case Start(attempt=attempt, agent=agent):
                 self.started.append(to)
-                word = self.words.pop(0)(attempt)
+                reply = self.replies.pop(0)(attempt)
                 asyncio.get_running_loop().call_soon(
-                    self.channels.take, word, agent, 0.0
+                    self.channels.take, reply, agent, 0.0
                 )
 
 
@@ -115,25 +115,26 @@
 
 
 def forget(attempt):
+    """Reply as an agent that was restarted and lost the attempt."""
     return UnknownAttempt(attempt=attempt)
 
 
 def withdraw(entry):
-    """Have the entry know that the version is withdrawn."""
+    """Put a snapshot in force in which the version is withdrawn."""
     version = Version(name=VERSION, state=VersionState.WITHDRAWN)
     entry.snapshot = msgspec.structs.replace(
         SNAPSHOT, revision=2, versions={VERSION: version}
     )
 
 
-def ask(*words, is_withdrawn=False):
-    """Return what the caller is told and how often the step was sent.
+def ask(*replies, is_withdrawn=False):
+    """Run a step; return the response, and the number of attempts sent.
 
-    With `is_withdrawn` its version is withdrawn as soon as the step was sent.
+    With `is_withdrawn` the version is withdrawn just after the first attempt.
     """
 
-    async def play():
-        entry = Entry(words)
+    async def run():
+        entry = FakeEntry(replies)
         if is_withdrawn:
             asyncio.get_running_loop().call_soon(withdraw, entry)
         job = Job(
@@ -145,7 +146,7 @@
         )
         return judge_outcome(await entry.dispatcher.run(job=job)), len(entry.started)
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
 @pytest.mark.parametrize(
@@ -160,61 +161,65 @@
     "second", [Refusal.ENGINE_DOWN, Refusal.DOMAIN_OUT, Refusal.WITHDRAWN]
 )
 def test_a_refused_retry_does_not_hide_that_the_request_ran(first, run, second):
-    """An engine crashes under a request, and its retry is refused.
+    """An engine crashes while it runs a request, and the retry is refused.
 
-    The version was withdrawn meanwhile, or the next endpoint is down too. A
-    caller that is told "not run" sends again what has had its effect.
+    The version was withdrawn in the meantime, or the next engine is down too.
+    If told "not run", the caller would repeat a request that has had its effect.
     """
-    told, sent = ask(first, refuse(second), refuse(second), refuse(second))
-    assert told.run is run
+    response, sent = ask(first, refuse(second), refuse(second), refuse(second))
+    assert response.run is run
     assert sent >= 2
 
 
 def test_a_request_that_never_started_was_not_run():
-    told, sent = ask(refuse(Refusal.FULL), refuse(Refusal.WITHDRAWN))
-    assert (told.run, told.code) == (Run.NOT_RUN, "version_withdrawn")
+    response, sent = ask(refuse(Refusal.FULL), refuse(Refusal.WITHDRAWN))
+    assert (response.run, response.code) == (Run.NOT_RUN, "version_withdrawn")
     assert sent == 2
 
 
 @pytest.mark.parametrize("refusal", [Refusal.STALE, Refusal.FULL, Refusal.ENGINE_DOWN])
-def test_a_withdrawn_version_is_told_as_such_whatever_an_agent_says(refusal):
-    """An agent is in doubt after a pause, and its entry knows what is in force.
+def test_a_withdrawn_version_is_reported_whatever_the_agents_refusal(refusal):
+    """An agent refuses after a pause because its facts may be stale.
 
-    Told "stale", a caller would come again and again for what is gone for good.
+    The entry knows that the version is withdrawn. If told "stale", the caller
+    would retry a request that can't succeed.
     """
-    told, sent = ask(*[refuse(refusal)] * 3, is_withdrawn=True)
-    assert (told.status, told.code, told.run) == (410, "version_withdrawn", Run.NOT_RUN)
+    response, sent = ask(*[refuse(refusal)] * 3, is_withdrawn=True)
+    assert (response.status, response.code, response.run) == (
+        410,
+        "version_withdrawn",
+        Run.NOT_RUN,
+    )
     assert sent == 1
 
 
-def test_a_request_that_ran_is_said_so_though_its_version_is_withdrawn():
-    told, sent = ask(end(Finish.ENGINE_CRASHED), is_withdrawn=True)
-    assert told.run is Run.RAN
+def test_a_request_that_ran_is_reported_so_if_its_version_is_withdrawn():
+    response, sent = ask(end(Finish.ENGINE_CRASHED), is_withdrawn=True)
+    assert response.run is Run.RAN
     assert sent == 1
 
 
 @pytest.mark.parametrize("finish", [Finish.CANCELLED, Finish.DEADLINE])
-def test_an_answer_cut_by_its_deadline_is_told_as_such(finish):
+def test_an_answer_that_misses_its_deadline_is_reported_so(finish):
     """A request's deadline passes while it runs.
 
-    Shortly before, the entry withdraws it, and the agent's word that it is
-    cancelled comes first. A caller that is told of a failed endpoint and to
-    try again sends it once more, though its time is up.
+    The entry cancels it shortly before, and the agent confirms this. If told
+    that the endpoint failed, the caller would retry although its time is up.
     """
-    told, sent = ask(end(finish))
-    assert (told.status, told.code, told.run) == (504, "deadline", Run.RAN)
-    assert told.retry_after == 0
+    response, sent = ask(end(finish))
+    assert (response.status, response.code, response.run) == (504, "deadline", Run.RAN)
+    assert response.retry_after == 0
     assert sent == 1
 
 
-def test_an_agent_is_given_the_time_until_the_entry_withdraws():
+def test_an_agents_deadline_is_when_the_entry_cancels():
     """A request reaches the head of the queue shortly before its deadline.
 
-    The entry withdraws it a little before that, to learn what became of it.
-    Started in between, it would be cut for certain, and its caller would get
-    a part of an answer in place of a refusal.
+    The entry cancels requests a little before their deadline, to get the
+    outcome. If the agent started this one in between, the caller would get a
+    part of an answer instead of a refusal.
     """
     job = Job(request="r", organisation="o", snapshot=SNAPSHOT, deadline=10.0)
-    placed = Placed(attempt="a", endpoint="x", agent="x.1", address="x")
-    start = build_start(job=job, placed=placed, now=4.0, alone=False)
-    assert start.within == 10.0 - 4.0 - LAST_WORD
+    target = AttemptTarget(attempt="a", endpoint="x", agent="x.1", address="x")
+    start = build_start(job=job, target=target, now=4.0, alone=False)
+    assert start.within == 10.0 - 4.0 - CANCEL_REPLY_SECONDS
