--- a/test/gateway/test_bytes.py
+++ b/test/gateway/test_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes as they may come, from callers and from endpoints, cut and broken anywhere."""
+"""Tests of messages that callers and endpoints split or corrupt at any byte."""
 
 import asyncio
 import concurrent.futures
@@ -55,7 +55,7 @@
 
 
 class Playground:
-    """A gateway with one endpoint, on a loop in a thread of its own."""
+    """A gateway with one endpoint, on an event loop in its own thread."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -95,14 +95,14 @@
             caller.close()
 
     async def is_well(self):
-        """Tell whether a proper request is served."""
+        """Return whether a valid request is served."""
         self.engine.play(Reply())
         got = await self.world.call("/look/1", attempt="attempt9")
         return got.status == 200 and got.body == b"done"
 
 
 async def read_or_none(caller: Caller):
-    """Return the answer, or None if the connection ends without a whole head."""
+    """Return the answer, or None if the connection closes within its headers."""
     try:
         async with asyncio.timeout(8):
             return await caller.read()
--- a/test/gateway/test_crashes.py
+++ b/test/gateway/test_crashes.py
@@ -1,4 +1,4 @@
-"""Endpoints that crash, and what is learned from it."""
+"""Tests with endpoints that crash, and of detecting queries of death."""
 
 import asyncio
 
@@ -14,10 +14,10 @@
     await engine.stop()
 
 
-def test_what_crashed_three_endpoints_is_known_though_nobody_came_by():
-    """A request crashes three endpoints, and no other goes there meanwhile.
+def test_a_query_of_death_is_detected_without_other_requests():
+    """A request crashes three endpoints, and no other request is sent to them.
 
-    It comes again some seconds later and would crash the fourth.
+    When it is repeated some seconds later, it must not crash the fourth.
     """
 
     async def main():
@@ -39,8 +39,8 @@
     run(main())
 
 
-def test_answers_lost_at_once_cost_one_connection_more():
-    """An endpoint breaks the connections of ten requests and is up."""
+def test_answers_lost_at_once_cause_a_single_check():
+    """An endpoint breaks the connections of ten requests but is still up."""
 
     async def main():
         async with make_world() as world:
--- a/test/gateway/test_endpoints.py
+++ b/test/gateway/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that are down, silent, slow, or lose answers."""
+"""Tests with endpoints that are down, silent, slow, or lose answers."""
 
 import asyncio
 import itertools
@@ -21,11 +21,11 @@
 from .world import connect, make_world, run, wait_for
 
 
-def test_one_lost_answer_is_a_warning_to_all():
-    """An endpoint that looks sound resets each connection for some seconds.
+def test_all_gateways_avoid_an_endpoint_after_one_lost_answer():
+    """An endpoint that looks healthy resets each connection for some seconds.
 
-    Each entry would lose a request that may not be repeated, and another when
-    it tries again, before it stays away.
+    If gateways didn't tell each other, each would lose a request that may not be
+    repeated, and another when it tries the endpoint again.
     """
 
     async def main():
@@ -51,11 +51,11 @@
     run(main())
 
 
-def test_an_endpoint_that_never_answers_is_met_once():
-    """An endpoint takes requests that may not be repeated, and says nothing.
+def test_an_endpoint_that_never_answers_gets_one_non_idempotent_request():
+    """An endpoint accepts non-idempotent requests and never answers.
 
-    Its health is fine and it takes new connections.  Each caller would wait until
-    the time limit, and have nothing.
+    It passes its health checks and accepts new connections.  If the gateway kept
+    using it, each caller would wait in vain until its timeout.
     """
 
     async def main():
@@ -75,11 +75,11 @@
 
 
 @pytest.mark.parametrize("alive", range(5))
-def test_endpoints_that_are_down_use_up_no_attempt(alive):
+def test_endpoints_that_are_down_dont_use_up_attempts(alive):
     """Four endpoints have crashed and are still listed; a fifth is idle.
 
-    A request may be sent to three endpoints.  It was sent to none of the four, so
-    its caller is served, whichever is tried first.
+    A request may be sent to three endpoints.  Endpoints that refuse the connection
+    don't count, so the fifth serves it, whichever is tried first.
     """
 
     async def main():
@@ -97,10 +97,10 @@
 
 
 def test_all_gateways_learn_which_endpoint_is_slow():
-    """One of five endpoints answers everything well, twenty times as late.
+    """One of five endpoints answers correctly, but takes twenty times as long.
 
-    No probe tells of it.  Callers of one gateway meet it, and the others' callers
-    are spared.
+    Health checks don't show it.  The gateway that notices it tells the others, so
+    that their callers avoid it.
     """
 
     async def main():
@@ -126,10 +126,10 @@
 
 
 @pytest.mark.parametrize("step", [Refuse(), Reply(status=500)])
-def test_an_endpoint_that_refuses_at_once_isn_t_taken_for_a_fast_one(step):
+def test_an_endpoint_that_refuses_at_once_doesnt_look_fast(step):
     """A full endpoint refuses within a millisecond what takes others a second.
 
-    Taken for answers, its refusals would draw more and more work to it.
+    If refusals counted as answers, it would attract more and more requests.
     """
 
     async def main():
@@ -148,22 +148,22 @@
     run(main())
 
 
-def test_an_endpoint_that_fell_silent_doesnt_hold_its_requests():
-    """An endpoint loses power with a lookup under way: nothing comes back.
+def test_requests_leave_an_endpoint_that_lost_power():
+    """An endpoint loses power with a lookup in flight, and sends nothing.
 
-    Its caller would wait until its connection times out after seconds.
+    Without a probe its caller would wait seconds for the connection to time out.
     """
 
     async def main():
         async with make_world() as world:
-            dark = await world.add_engine("e1", Hang(), slots=100)
+            unreachable = await world.add_engine("e1", Hang(), slots=100)
             await world.add_engine("e2", slots=1)
             await world.start_gateway()
             await world.wait_ready()
             caller = await connect(world.settings[0].listen)
             caller.send("/look/1")
-            await wait_for(lambda: dark.runs)
-            dark.refuse()
+            await wait_for(lambda: unreachable.runs)
+            unreachable.refuse()
             got = await asyncio.wait_for(caller.read(), 1.2)
             assert got.status == 200
             caller.close()
@@ -171,11 +171,11 @@
     run(main())
 
 
-def test_a_request_that_is_given_up_never_arrives_late():
-    """The path to an endpoint is cut with a request on it, which is given up.
+def test_an_abandoned_request_never_arrives_late():
+    """A network path is cut with a request in flight, which the gateway abandons.
 
-    Closed in order, its bytes would still be sent when the path is whole again,
-    seconds later, to an endpoint that is leaving by then.
+    After an orderly close the kernel would still send the bytes when the path is
+    back, seconds later, to an endpoint that may be leaving by then.
     """
 
     async def main():
@@ -190,8 +190,8 @@
     run(main())
 
 
-def test_a_slow_endpoint_that_takes_connections_is_waited_for():
-    """An engine reads a long prompt and says nothing for most of a second."""
+def test_a_slow_endpoint_that_accepts_connections_keeps_its_request():
+    """An engine reads a long prompt and sends nothing for most of a second."""
 
     async def main():
         async with make_world() as world:
@@ -207,9 +207,9 @@
 
 
 def test_a_request_that_is_never_answered_goes_elsewhere():
-    """An endpoint answers all but some requests, and its probes are good.
+    """An endpoint never answers some requests, and its probes succeed.
 
-    Their callers would wait until their time is over.
+    Without a timeout their callers would wait until the deadline.
     """
 
     async def main():
@@ -228,7 +228,7 @@
 
 
 def test_a_stream_that_stands_still_goes_on_elsewhere():
-    """An engine stops in the middle of a stream without a word."""
+    """An engine stalls in the middle of a stream."""
 
     async def main():
         async with make_world() as world:
@@ -244,8 +244,8 @@
     run(main())
 
 
-def test_what_may_not_be_repeated_waits_for_a_silent_endpoint():
-    """An issue's endpoint is out of reach for a moment and then answers."""
+def test_a_non_idempotent_request_waits_for_a_silent_endpoint():
+    """An endpoint is unreachable for a moment and then answers."""
 
     async def main():
         async with make_world() as world:
@@ -262,10 +262,10 @@
     run(main())
 
 
-def test_the_last_attempt_waits_for_an_endpoint_that_looks_dark(monkeypatch):
-    """A stream runs by its last attempt, and no new connection gets through.
+def test_the_last_attempt_waits_for_an_endpoint_that_looks_unreachable(monkeypatch):
+    """A stream is on its last attempt when probes of its endpoint fail.
 
-    Given up, it would break off for certain; the endpoint may only be full.
+    Giving up would break it off for certain, while the endpoint may only be full.
     """
 
     async def main():
@@ -287,10 +287,11 @@
     raise ConnectError(f"{address}: no answer")
 
 
-def test_one_lost_packet_doesn_t_make_an_endpoint_dark(monkeypatch):
-    """A stream pauses, and the first packet of the probe is lost on its way.
+def test_one_lost_packet_doesnt_make_an_endpoint_unreachable(monkeypatch):
+    """A stream pauses, and the first packet of the probe is lost.
 
-    The endpoint is up; its streams would all be cut and begun anew.
+    The endpoint is up.  Without a second probe all its streams would be cut and
+    restarted.
     """
     tries = []
 
@@ -326,8 +327,10 @@
 
 
 @pytest.mark.parametrize("take_out", [leave, evacuate])
-def test_an_endpoint_that_is_taken_out_while_it_is_connected_to(monkeypatch, take_out):
-    """A request waits for a connection to an endpoint that leaves meanwhile."""
+def test_an_endpoint_that_is_taken_out_during_the_connect_gets_no_request(
+    monkeypatch, take_out
+):
+    """An endpoint is taken out while a request waits for a connection to it."""
 
     async def main():
         async with make_world() as world:
--- a/test/gateway/test_last_words.py
+++ b/test/gateway/test_last_words.py
@@ -1,4 +1,7 @@
-"""What callers are told whose requests come as a gateway ends their connection."""
+"""Tests that a stopping gateway answers requests that arrive too late.
+
+Each caller gets an answer that says whether its request ran.
+"""
 
 import asyncio
 import collections
@@ -21,7 +24,7 @@
 
 GRACE_SECONDS = 6.0
 
-# What says that a request hasn't run and never will.
+# Statuses that guarantee that a request has not run and never will.
 NOT_RUN = {408, 503}
 
 HEAD = f"POST /issue/1 HTTP/1.1\r\nHost: api.example\r\nAuthorization: Bearer {KEY}\r\n"
@@ -30,7 +33,7 @@
 
 @contextlib.asynccontextmanager
 async def make_stopping(*script, after):
-    """Give a world, its endpoint and the stop of its gateway, so long after SIGTERM."""
+    """Yield a world, its endpoint and its gateway's stop, `after` seconds into it."""
     async with make_world() as world:
         engine = await world.add_engine("e1", *script)
         gateway = await world.start_gateway()
@@ -46,9 +49,9 @@
 
 
 async def ask_in_pieces(address, *, connect_after, delay, attempt, pieces=1):
-    """Connect, then send a request in so many pieces; return the answer.
+    """Connect, send a request in pieces, and return the answer.
 
-    What is answered already isn't sent on, as RFC 9112 asks of callers.
+    As RFC 9112 demands, sending stops once the request has been answered.
     """
     await asyncio.sleep(connect_after)
     caller = await connect(address)
@@ -61,7 +64,7 @@
     reading = asyncio.ensure_future(caller.read())
     for begin in range(0, len(data), size):
         await asyncio.wait([reading], timeout=delay / pieces)
-        # One in a single piece crosses the close.
+        # A request in a single piece may cross the close of the connection.
         if not reading.done() or pieces == 1:
             send(data[begin : begin + size])
     got = await reading
@@ -69,21 +72,21 @@
     return got
 
 
-def check_told(got, ran):
+def check_answer(got, ran):
     """Check an answer against how often the request ran."""
     assert (got.status, ran) == (200, 1) or (got.status in NOT_RUN and not ran)
 
 
 @pytest.mark.parametrize("pieces", [1, 3])
-def test_a_caller_is_told_how_late_it_sends_its_first_request(pieces):
+def test_a_late_first_request_always_gets_an_answer(pieces):
     """A caller on a busy instance or a slow link connects to a stopping gateway.
 
-    It takes its time to send, also until after the end of the process.
+    It sends its request late, possibly after the end of the process.
     """
 
     async def main():
         async with make_stopping(after=0.1) as (world, engine, stopping):
-            # Something is under way, so that the gateway doesn't end sooner.
+            # An unfinished request keeps the gateway from ending earlier.
             keeping = await connect(world.settings[0].listen)
             keeping.writer.write(HALF.encode())
             moments = [*itertools.product(CONNECTS, DELAYS)]
@@ -97,19 +100,19 @@
                 )
                 for number, (connect_after, delay) in enumerate(moments)
             )
-            told = await asyncio.gather(*asking)
+            answers = await asyncio.gather(*asking)
             await stopping
             keeping.close()
             runs = collections.Counter(one.attempt for one in engine.runs)
-            for number, got in enumerate(told):
-                check_told(got, runs[str(number)])
-            assert {got.status for got in told} == {200, *NOT_RUN}
+            for number, got in enumerate(answers):
+                check_answer(got, runs[str(number)])
+            assert {got.status for got in answers} == {200, *NOT_RUN}
 
     run(main())
 
 
-def test_a_caller_that_sends_when_the_process_is_gone_is_told():
-    """Its connection was open and unused all through the stop."""
+def test_a_request_after_the_end_of_the_process_gets_an_answer():
+    """Its connection was open and unused during the whole stop."""
 
     async def main():
         async with make_stopping(after=0.5) as (world, _, stopping):
@@ -123,8 +126,8 @@
 
 
 @pytest.mark.parametrize("size", [1, 20, len(HEAD)])
-def test_a_caller_that_has_sent_part_of_a_head_is_told(size):
-    """Its link is slow: the rest would have come after the end of the process."""
+def test_partial_headers_at_the_end_of_the_process_get_an_answer(size):
+    """A caller's link is slow: the rest would arrive after the end of the process."""
 
     async def main():
         async with make_stopping(after=1.0) as (world, _, stopping):
@@ -137,8 +140,8 @@
     run(main())
 
 
-def test_a_caller_that_is_still_sending_a_body_is_told():
-    """The rest of its body comes when the process is about to end, or later."""
+def test_a_partial_body_at_the_end_of_the_process_gets_an_answer():
+    """The rest of a body arrives when the process is about to end, or later."""
 
     async def main():
         async with make_stopping(after=1.0) as (world, engine, stopping):
@@ -156,10 +159,10 @@
 
 
 @pytest.mark.parametrize("is_kept", [True, False])
-def test_a_request_that_crosses_the_close_of_its_connection_is_said_not_to_have_run(
+def test_a_request_that_crosses_an_idle_close_is_answered_as_not_run(
     is_kept,
 ):
-    """It is sent when the gateway has closed the connection as idle."""
+    """The request is sent after the gateway closed the connection as idle."""
 
     async def main():
         async with make_world() as world:
@@ -183,17 +186,17 @@
 
 
 MOMENTS = [
-    GRACE_SECONDS - left - 0.1
-    for left in (ANSWER_MARGIN_SECONDS, LISTEN_MARGIN_SECONDS, REQUEST_MARGIN_SECONDS)
+    GRACE_SECONDS - margin - 0.1
+    for margin in (ANSWER_MARGIN_SECONDS, LISTEN_MARGIN_SECONDS, REQUEST_MARGIN_SECONDS)
 ]
 
 
 @pytest.mark.parametrize("after", [ROTATION_SECONDS - 0.1, *MOMENTS])
-def test_a_stop_that_is_held_up_cuts_nothing(after):
-    """A busy instance runs nothing of a gateway for a second of its stop.
+def test_a_suspended_stop_cuts_no_request(after):
+    """A busy instance suspends a gateway for a second of its stop.
 
-    Requests are under way, have come unread, or wait in the queue of the port
-    meanwhile, and the time for all of that is over when the process goes on.
+    Meanwhile requests are in flight, unread, or in the listening socket's queue, and
+    their time is over when the process continues.
     """
 
     async def main():
@@ -210,18 +213,18 @@
             unused[0].writer.write(b"POST")
             queued = []
             with contextlib.suppress(ConnectionRefusedError):
-                # They connect to the kernel only: the gateway's loop is this one.
+                # Only the kernel accepts them, as the gateway runs on this event loop.
                 queued = [await connect(address) for _ in range(3)]
                 queued[0].send("/look/3", attempt="queued")
-            # The loop of the gateway and of all others.
+            # Blocks the event loop of the gateway and of everything else.
             time.sleep(1.0)
             if queued:
                 queued[1].send("/look/4", attempt="late")
             callers = [working, halfway, unread, *unused, *queued]
-            told = [await caller.read() for caller in callers]
-            assert told[0].status == 504 or after < GRACE_SECONDS / 2
-            assert told[1].status == 503
-            assert all(got.is_whole for got in told)
+            answers = [await caller.read() for caller in callers]
+            assert answers[0].status == 504 or after < GRACE_SECONDS / 2
+            assert answers[1].status == 503
+            assert all(got.is_whole for got in answers)
             await stopping
             for caller in callers:
                 caller.close()
@@ -229,8 +232,8 @@
     run(main())
 
 
-def test_operators_see_that_a_gateway_was_held_up():
-    """Its callers waited, and nothing else shows that it wasn't its endpoints."""
+def test_metrics_show_that_a_gateway_was_suspended():
+    """Without the metric, callers' waits would look like slow endpoints."""
 
     async def main():
         async with make_world() as world:
--- a/test/gateway/test_limits.py
+++ b/test/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""What callers may send, and how long they may take, by the configuration."""
+"""Tests of the configured limits on what callers send and how long they take."""
 
 import asyncio
 
@@ -29,14 +29,14 @@
 
 
 async def read_end(caller):
-    """Return what comes until the connection ends."""
+    """Return the bytes until the connection closes."""
     return await asyncio.wait_for(caller.reader.read(), 5)
 
 
 def test_a_head_that_is_too_long_is_refused():
-    """A caller sends more headers than operators allow.
+    """A caller sends longer headers than the configuration allows.
 
-    It is told so, and its request isn't passed on.
+    It gets a 431, and its request isn't forwarded.
     """
 
     async def main():
@@ -54,10 +54,10 @@
 
 @pytest.mark.parametrize("is_chunked", [False, True])
 def test_a_body_that_is_too_long_is_refused(is_chunked):
-    """A caller sends a longer body than operators allow, and reads at its end.
+    """A caller sends a longer body than allowed, and reads after sending it.
 
-    It is told so before all is sent, the answer isn't lost to the reset of a
-    connection that is closed with unread bytes, and nothing is passed on.
+    It gets a 413 before the body is complete, and nothing is forwarded.  Closing
+    the connection with unread bytes would reset it and lose the answer.
     """
 
     async def main():
@@ -82,7 +82,7 @@
 
 
 def test_a_caller_that_never_ends_its_body_is_cut_off():
-    """What is refused is read on for a while only, however much is sent."""
+    """The gateway stops reading a refused body after `DRAIN_BYTES`."""
 
     async def main():
         async with make_world() as world:
@@ -99,11 +99,11 @@
     run(main())
 
 
-def test_a_head_that_comes_too_slowly_ends():
-    """A caller begins a request and goes silent.
+def test_headers_that_arrive_too_slowly_end_the_connection():
+    """A caller starts a request and falls silent.
 
-    Connections of this kind would hold memory and descriptors for as long as
-    the caller likes.
+    Without a limit such connections would hold memory and file descriptors for as
+    long as the caller likes.
     """
 
     async def main():
@@ -119,8 +119,8 @@
     run(main())
 
 
-def test_a_head_that_takes_its_time_is_served():
-    """A head comes in pieces, within the time that operators allow."""
+def test_slow_headers_within_the_limit_are_served():
+    """The headers arrive in pieces, within the configured time."""
 
     async def main():
         async with make_world() as world:
@@ -135,10 +135,10 @@
     run(main())
 
 
-def test_a_connection_is_kept_for_the_time_that_operators_name():
-    """Callers use a connection again after most of the idle time.
+def test_an_idle_connection_is_kept_for_the_configured_time():
+    """Callers reuse a connection shortly before the end of its idle time.
 
-    Closed sooner, a request would cross the close and fail.
+    If it closed earlier, a request could cross the close and fail.
     """
 
     async def main():
@@ -158,7 +158,7 @@
     run(main())
 
 
-def test_changed_limits_hold_for_open_connections():
+def test_changed_limits_apply_to_open_connections():
     async def main():
         async with make_world() as world:
             await start(world)
@@ -173,10 +173,10 @@
     run(main())
 
 
-def test_connections_that_callers_close_are_forgotten():
-    """Callers open connections, use them or not, and close them, all day long.
+def test_connections_that_callers_close_are_removed():
+    """Callers open and close connections all day, with or without a request.
 
-    If each were kept, memory and the work of looking through them would grow.
+    If the gateway kept them, its memory and the cost of checking them would grow.
     """
 
     async def main():
--- a/test/gateway/test_odd_models.py
+++ b/test/gateway/test_odd_models.py
@@ -1,4 +1,4 @@
-"""Configurations and answers that say odd things of models."""
+"""Tests of odd costs in the configuration and odd confidence in answers."""
 
 import pytest
 
@@ -31,7 +31,7 @@
         [("other", {"cost": 1.0})],
     ],
 )
-def test_odd_costs_cost_no_caller_an_answer(costs):
+def test_odd_costs_dont_fail_requests(costs):
     """Operators leave costs out, or mistype them."""
 
     async def main():
@@ -53,8 +53,8 @@
 
 
 @pytest.mark.parametrize("confidence", [None, -5, 101, 10**9, "", "sure", "40.5"])
-def test_an_odd_opinion_costs_no_caller_an_answer(confidence):
-    """A model says nothing of its answer, or something that is no opinion."""
+def test_an_odd_confidence_doesnt_fail_requests(confidence):
+    """A model reports no confidence, or one that isn't a number from 0 to 100."""
 
     async def main():
         async with make_world() as world:
--- a/test/gateway/test_retry_budget.py
+++ b/test/gateway/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeats, which gateways share without asking each other."""
+"""Tests of the retry budget, which gateways share without coordination."""
 
 import asyncio
 
@@ -12,10 +12,10 @@
 SLACK = 10.0
 
 
-def test_gateways_that_havent_found_each_other_yet_share_the_slack(monkeypatch):
-    """Endpoints fail just as gateways have started and know of no other.
+def test_gateways_that_dont_know_each_other_yet_share_the_slack(monkeypatch):
+    """Endpoints fail when gateways have just started and don't know each other.
 
-    Each would take the whole constant part of the budget for itself.
+    Without a share each would use the whole constant part of the budget.
     """
     keep_apart(monkeypatch)
 
--- a/test/gateway/test_serving.py
+++ b/test/gateway/test_serving.py
@@ -1,4 +1,4 @@
-"""Requests from callers through a gateway to endpoints and back."""
+"""Tests of requests from callers through a gateway to endpoints and back."""
 
 import asyncio
 
@@ -54,7 +54,7 @@
     run(main())
 
 
-def test_what_isnt_allowed_is_refused():
+def test_requests_that_arent_allowed_are_refused():
     async def main():
         async with make_world() as world:
             engine = await world.add_engine("e1")
@@ -69,8 +69,8 @@
     run(main())
 
 
-def test_without_a_configuration_callers_are_told_to_come_back():
-    """A gateway starts while the store has no configuration yet.
+def test_without_a_configuration_callers_are_told_to_retry():
+    """A gateway starts before the store has a configuration.
 
     Its callers must not be told that their route or key doesn't exist.
     """
@@ -86,11 +86,11 @@
     run(main())
 
 
-def test_what_may_not_be_repeated_runs_once():
-    """An endpoint runs an issue of a credential and its answer is lost.
+def test_a_non_idempotent_request_runs_once():
+    """An endpoint issues a credential, and its answer is lost.
 
-    Sent again it would be issued twice; told "not run" the caller would send
-    it again itself.
+    A retry would issue the credential twice.  So would the caller's own retry if
+    the gateway answered that the request did not run.
     """
 
     async def main():
@@ -109,8 +109,8 @@
 
 
 @pytest.mark.parametrize("path", ["/issue/1", "/look/1"])
-def test_what_surely_hasnt_run_goes_to_another_endpoint(path):
-    """A full endpoint sends a request back; its caller notices nothing."""
+def test_a_request_that_has_not_run_goes_to_another_endpoint(path):
+    """A full endpoint refuses a request, and another one runs it."""
 
     async def main():
         async with make_world() as world:
@@ -125,17 +125,17 @@
     run(main())
 
 
-def test_a_later_attempt_follows_the_configuration_of_then():
-    """Operators move a route to another service while a request is under way.
+def test_a_retry_follows_the_current_configuration():
+    """Operators move a route to another service while a request is in flight.
 
-    Its first endpoint sends it back.  On the service of before it would run
+    Its first endpoint refuses it.  A retry on the previous service would run it
     where the route no longer leads.
     """
 
     async def main():
         async with make_world() as world:
             await world.add_engine("e1", Refuse(delay=0.6), slots=100)
-            left = await world.add_engine("e2", slots=1)
+            previous = await world.add_engine("e2", slots=1)
             other = await world.add_engine("e3", service="other")
             gateway = await world.start_gateway()
             await world.wait_ready()
@@ -145,12 +145,12 @@
             world.configure(version=2, routes=[moved])
             assert (await calling).status == 200
             assert len(other.runs) == 1
-            assert not left.runs
+            assert not previous.runs
 
     run(main())
 
 
-def test_a_request_that_no_endpoint_took_is_said_not_to_have_run():
+def test_a_request_that_no_endpoint_accepted_is_answered_as_not_run():
     async def main():
         async with make_world() as world:
             engine = await world.add_engine("e1", Refuse())
@@ -165,11 +165,11 @@
 
 
 @pytest.mark.parametrize("status", [503, 421])
-def test_a_refusal_of_another_request_says_nothing_of_this_one(status):
-    """An endpoint's late refusal comes where the next request's answer is due.
+def test_a_refusal_of_another_request_isnt_taken_for_this_one(status):
+    """An endpoint sends a late refusal in place of the next request's answer.
 
-    That request has run by then; sent elsewhere or answered 503 it would run, or
-    be asked for, twice.
+    That request has run by then.  A retry would run it twice, and after a 503 the
+    caller would send it again.
     """
     refusal = (
         f"HTTP/1.1 {status} Late\r\nX-Not-Executed: 1\r\n"
@@ -194,9 +194,9 @@
     "broken", [Break(), Garbage(), Unframed(is_reset=True), Reply(attempt="other")]
 )
 def test_a_broken_answer_is_never_passed_on(broken):
-    """An endpoint resets, sends rubbish, or answers another request.
+    """An endpoint resets, sends garbage, or answers another request.
 
-    The caller of a lookup gets the whole answer of another endpoint.
+    The caller of a lookup gets the complete answer of another endpoint.
     """
 
     async def main():
@@ -211,7 +211,7 @@
     run(main())
 
 
-def test_an_answer_that_ends_with_its_connection_in_order_is_whole():
+def test_an_unframed_answer_is_whole_if_its_connection_closes_in_order():
     async def main():
         async with make_world() as world:
             await world.add_engine("e1", Unframed(body=b"all of it"))
@@ -223,10 +223,10 @@
     run(main())
 
 
-def test_bytes_after_an_answer_are_no_one_elses():
+def test_bytes_after_an_answer_reach_no_other_request():
     """A faulty endpoint sends a second answer after the first.
 
-    Used again, the connection would give it to the next caller.
+    If the connection were reused, the next caller would get it.
     """
 
     async def main():
@@ -247,7 +247,7 @@
     run(main())
 
 
-def test_a_kept_connection_is_used_again():
+def test_a_kept_connection_is_reused():
     async def main():
         async with make_world() as world:
             engine = await world.add_engine("e1")
@@ -260,7 +260,7 @@
     run(main())
 
 
-def test_a_request_that_waits_for_an_endpoint_is_given_up_with_its_caller():
+def test_a_request_is_cancelled_when_its_caller_disconnects():
     async def main():
         async with make_world() as world:
             engine = await world.add_engine("e1", Hang())
@@ -276,7 +276,7 @@
 
 
 def test_a_route_s_time_limit_ends_a_request():
-    """An endpoint hangs: the caller gets its answer half a second later at most."""
+    """An endpoint hangs; its caller gets a 504 within half a second of the limit."""
 
     async def main():
         async with make_world() as world:
@@ -292,7 +292,7 @@
     run(main())
 
 
-def test_a_later_attempt_gets_only_the_time_that_is_left():
+def test_a_retry_gets_only_the_remaining_time():
     async def main():
         async with make_world() as world:
             await world.add_engine("e1", Reply(status=500, delay=0.6), slots=100)
@@ -318,10 +318,10 @@
     run(main())
 
 
-def test_a_reused_address_runs_nothing():
-    """An endpoint's address is taken by another one, which says so.
+def test_a_reused_address_doesnt_run_requests_for_another_endpoint():
+    """Another endpoint listens at an endpoint's former address and refuses.
 
-    The request must not run there, and goes to the endpoint that is meant.
+    The request must not run there, but on the intended endpoint.
     """
 
     async def main():
@@ -341,8 +341,8 @@
     run(main())
 
 
-def test_bad_input_harms_no_other_request():
-    """A caller sends rubbish, or a head that is too long."""
+def test_bad_input_doesnt_affect_other_requests():
+    """A caller sends garbage, or headers that are too long."""
 
     async def main():
         async with make_world() as world:
@@ -398,10 +398,10 @@
     run(main())
 
 
-def test_metrics_tell_of_a_lost_store_and_of_lost_log_lines():
-    """The store is away, and the log says little since its reader stalls.
+def test_metrics_show_a_lost_store_and_dropped_log_lines():
+    """The store is unavailable, and log lines are dropped as their reader stalls.
 
-    Operators see both in the metrics, whatever the log misses.
+    Metrics show both, so operators see them without the log.
     """
 
     async def main():
--- a/test/gateway/test_streams.py
+++ b/test/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of events, and the models that write them."""
+"""Tests of event streams, their priorities and the choice of models."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 )
 
 
-def test_a_stream_goes_on_at_another_endpoint():
+def test_a_stream_resumes_on_another_endpoint():
     """An endpoint crashes in the middle of an event.
 
     The caller gets each event once and in order, and the end of the stream.
@@ -48,7 +48,7 @@
 def test_a_caller_that_has_all_events_gets_the_end():
     """A caller's connection broke after the last event and before the end.
 
-    It comes back with the last event's id, and the endpoint has no more events.
+    The caller resumes after the last event, and the endpoint has no more events.
     """
 
     async def main():
@@ -62,8 +62,8 @@
     run(main())
 
 
-def test_a_broken_stream_that_may_not_go_on_never_looks_whole():
-    """An endpoint crashes in a stream that may run once only."""
+def test_a_broken_stream_that_cant_resume_never_looks_whole():
+    """An endpoint crashes during a stream that isn't resumable."""
 
     async def main():
         async with make_world() as world:
@@ -79,7 +79,7 @@
     run(main())
 
 
-def test_an_unsure_model_is_followed_by_a_better_one():
+def test_low_confidence_escalates_to_a_better_model():
     async def main():
         async with make_world() as world:
             engine = await world.add_engine(
@@ -99,9 +99,9 @@
 
 
 def test_engines_are_told_to_read_short_prompts_first():
-    """Engines are full, and a question waits behind long documents.
+    """Engines are full, and a question would wait behind long documents.
 
-    What a caller says of its own rank is not passed on.
+    A priority that a caller sets itself is not forwarded.
     """
 
     async def main():
@@ -119,11 +119,11 @@
     run(main())
 
 
-def test_one_organisation_s_burst_gives_way_at_all_gateways():
-    """One of five organisations sends sixty times what the others do.
+def test_all_gateways_deprioritise_an_organisations_burst():
+    """One of five organisations sends sixty times as much as the others.
 
-    Its callers come through one gateway.  Another gateway's engines read the
-    prompts of the others first, too, so that nobody waits for the burst.
+    All of it goes through one gateway.  Another gateway must deprioritise the
+    organisation too, or other callers would wait for the burst.
     """
     names = [f"org{number}" for number in range(5)]
     ask = (("X-Model", "*"), ("X-Token-Usage", "450,50"))
@@ -144,7 +144,7 @@
             )
 
             async def rank(name, number):
-                """Send a prompt and return the rank that the engine was told."""
+                """Send a prompt and return the priority that the engine received."""
                 key = f"key-{name}"
                 got = await world.call("/chat/1", number=number, key=key, headers=ask)
                 assert got.status == 200
@@ -158,9 +158,9 @@
                 while await rank("org3", 1) <= before[0]:
                     await asyncio.sleep(0.1)
             address = f"{world.settings[1].address}:{world.settings[1].metrics_port}"
-            told = await call(address, "/metrics", method="GET", body=b"")
-            assert b"gateway_heavy_organisations 1.0" in told.body
-            assert b"gateway_slow_endpoints 0.0" in told.body
+            metrics = await call(address, "/metrics", method="GET", body=b"")
+            assert b"gateway_heavy_organisations 1.0" in metrics.body
+            assert b"gateway_slow_endpoints 0.0" in metrics.body
             assert await rank("org1", 1) == before[0]
 
     run(main())
@@ -181,10 +181,10 @@
     run(main())
 
 
-def test_the_work_for_a_caller_that_left_is_given_up():
+def test_a_stream_is_cancelled_when_its_caller_disconnects():
     """A caller closes its connection in the middle of a stream.
 
-    The endpoint would go on working for nobody.
+    Otherwise the endpoint would keep generating without a reader.
     """
 
     async def main():
@@ -203,10 +203,10 @@
     run(main())
 
 
-def test_a_begun_stream_goes_on_though_its_key_was_taken_away():
-    """An endpoint breaks off, and meanwhile the caller's key was taken away.
+def test_a_stream_resumes_after_its_key_was_revoked():
+    """An endpoint breaks a stream off after the caller's key was revoked.
 
-    The caller was permitted when it came and has half of its stream.
+    The caller was authorised when it arrived and has half of its stream.
     """
 
     async def main():
--- a/test/gateway/world.py
+++ b/test/gateway/world.py
@@ -1,4 +1,4 @@
-"""A gateway in this process, before stand-ins of the platform and of endpoints."""
+"""Gateways in this process, with stand-ins for the platform and for endpoints."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 MODELS = ("small", "middle", "large")
 
-# The headers of a request that leaves the choice of the model to the gateway.
+# Headers of a request that lets the gateway choose the model.
 ANY_MODEL_HEADERS = (
     ("X-Model", "*"),
     ("X-Token-Usage", "1000,50"),
@@ -29,7 +29,7 @@
 
 
 def run(coroutine):
-    """Run a test's coroutine, for half a minute at most."""
+    """Run a test's coroutine with a timeout of 30 seconds."""
     return asyncio.run(asyncio.wait_for(coroutine, 30))
 
 
@@ -99,7 +99,7 @@
 
 
 class World:
-    """A store, endpoints by service, and gateways."""
+    """A store, endpoints and gateways."""
 
     def __init__(self):
         self.store = MetadataStore()
@@ -135,7 +135,7 @@
         self.store.put(kind=Kinds.CONFIGURATION, name="main", spec=manifest)
 
     async def start_gateway(self, *, number=1, objects_url=None, **rest):
-        """Start a gateway; each has an address of its own on loopback."""
+        """Start a gateway with its own loopback address."""
         address = f"127.0.0.{number}"
         settings = GatewaySettings(
             name=f"entry-{number}",
@@ -165,7 +165,7 @@
         return gateway
 
     def change_settings(self, number=0, **changes):
-        """Change the file of a gateway's settings."""
+        """Change a gateway's settings file."""
         changed = msgspec.structs.replace(self.settings[number], **changes)
         self.settings[number] = changed
 
@@ -182,14 +182,14 @@
 
 
 async def wait_for(condition, seconds=8.0):
-    """Wait until something holds; fail if it doesn't."""
+    """Wait until a condition holds; raise `TimeoutError` after `seconds`."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 class Caller:
-    """One connection of a caller, read byte by byte."""
+    """One caller's connection."""
 
     def __init__(self, reader, writer):
         self.reader = reader
@@ -219,7 +219,7 @@
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def read(self):
-        """Return status, headers, body and whether the answer was whole."""
+        """Return status, headers, body and whether the answer was complete."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         status = int(lines[0].split()[1])
@@ -246,7 +246,7 @@
 
 
 class CallerResponse(msgspec.Struct, frozen=True):
-    """What a caller got."""
+    """The answer that a caller received; `is_whole` if it was complete."""
 
     status: int
     headers: dict[str, str]
