--- a/eelgrassrack/gateway/job.py
+++ b/eelgrassrack/gateway/job.py
@@ -74,6 +74,7 @@
 
 NO_PLACEMENT = Placement()
 
+# Log lines carry the names of these classes, which `eelgrassrack losses` matches.
 Outcome = Delivered | NotRun | Lost | Failed | Unsure
 
 
--- a/eelgrassrack/gateway/placing.py
+++ b/eelgrassrack/gateway/placing.py
@@ -337,8 +337,8 @@
     def _find_remaining(self, job: "Job", model: str, now: float) -> float:
         """Return the seconds that a model's first token may take.
 
-        If the request may escalate to the best model, the time that this model needs
-        to read the prompt again is left over within the objective.
+        If the request may escalate to the best model, the time that the best model
+        needs to read the prompt again is subtracted.
         """
         remaining = job.arrival.arrived + job.permit.route.objective - now
         models = job.permit.route.models if job.has_choice else ()
