--- a/eelgrassrack/entry/entry.py
+++ b/eelgrassrack/entry/entry.py
@@ -15,7 +15,7 @@
 from ..invariants import Invariants, Promise
 from ..lingering import NOT_READ
 from ..listening import stop_listening
-from ..mailbox.messages import AnyMessage, Bill, Parcel
+from ..mailbox.messages import AnyMessage, Bill, MessageBatch
 from ..mailbox.socket import Mailbox
 from ..metrics import Metrics
 from ..settings import EntrySettings
@@ -281,7 +281,7 @@
         self._hurry.set()
         self._set_end(self._loop.time())
 
-    def deliver(self, batch: Parcel) -> None:
+    def deliver(self, batch: MessageBatch) -> None:
         """Process a batch of messages from an agent or another entry."""
         self._inbox.deliver(batch)
 
@@ -331,7 +331,7 @@
         if now - self._heartbeat_at < HEARTBEAT_SECONDS:
             return
         self.directory.drop_silent(now)
-        self._mailbox.forget_idle()
+        self._mailbox.close_idle()
         self._send_heartbeats()
         self._report_metrics()
 
--- a/eelgrassrack/entry/inbox.py
+++ b/eelgrassrack/entry/inbox.py
@@ -11,7 +11,7 @@
     Ended,
     Hello,
     Load,
-    Parcel,
+    MessageBatch,
     Piece,
     Presence,
     Quarantined,
@@ -66,7 +66,7 @@
         self._post = post
         self._suspects = suspects
 
-    def deliver(self, batch: Parcel) -> None:
+    def deliver(self, batch: MessageBatch) -> None:
         """Process a batch of messages from an agent or another entry."""
         self._configuration.tick()
         now = self._clock()
@@ -87,7 +87,7 @@
             answers=answers,
         )
 
-    def _take(self, message: AnyMessage, batch: Parcel, now: float) -> None:
+    def _take(self, message: AnyMessage, batch: MessageBatch, now: float) -> None:
         match message:
             case Load():
                 self._take_load(message, batch, now)
@@ -114,13 +114,15 @@
             case _:
                 self._take_progress(message, batch, now)
 
-    def _take_progress(self, message: AnyMessage, batch: Parcel, now: float) -> None:
+    def _take_progress(
+        self, message: AnyMessage, batch: MessageBatch, now: float
+    ) -> None:
         if isinstance(message, Ended) and message.bill is not None:
             self._meter.note_bill(message.bill)
             self._billing.take(bill=message.bill, address=batch.address)
         self._channels.take(message, batch.incarnation, now)
 
-    def _take_load(self, load: Load, batch: Parcel, now: float) -> None:
+    def _take_load(self, load: Load, batch: MessageBatch, now: float) -> None:
         endpoint = self._directory.take_load(
             load, batch.address, batch.incarnation, now
         )
@@ -131,7 +133,7 @@
             quarantined=self._suspects.quarantined,
         )
 
-    def _answer_hello(self, question: int, batch: Parcel) -> None:
+    def _answer_hello(self, question: int, batch: MessageBatch) -> None:
         endpoint = self._directory.find_by_address(batch.address)
         if endpoint is not None:
             self._peers.send_facts(
