--- a/bench/fuzz/play.py
+++ b/bench/fuzz/play.py
@@ -251,9 +251,9 @@
         ]
         agents = [endpoint.agent for endpoint in self._rig.endpoints.values()]
         return found + [
-            (agent.incarnation, agent._standing.facts.revision)
+            (agent.incarnation, agent._state.facts.revision)
             for agent in agents
-            if agent is not None and agent._standing.facts is not None
+            if agent is not None and agent._state.facts is not None
         ]
 
 
--- a/bench/scenarios/endpoint.py
+++ b/bench/scenarios/endpoint.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable, Mapping
 
-from eelgrassrack.agent.drain import Drain
+from eelgrassrack.agent.drainrate import DrainRate
 from eelgrassrack.decisions.admission import Arrival, Backlog, estimate_wait
 from eelgrassrack.decisions.coldstart import CollapseReason, Window
 from eelgrassrack.decisions.fairqueue import FairQueue, QueuedRequest
@@ -113,7 +113,7 @@
         self.busy_tokens = 0.0
         self._dice = dice
         self._bears = float(ceiling if is_warm else floor)
-        self._drain = Drain()
+        self._drain = DrainRate()
         self._jobs: dict[str, tuple[Job, Callable]] = {}
         self._running: dict[str, tuple[Job, Callable]] = {}
         self._own: collections.Counter[object] = collections.Counter()
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -24,8 +24,8 @@
 from eelgrassrack.document.snapshot import Snapshot
 from eelgrassrack.entry.directory import Directory, EndpointRecord
 from eelgrassrack.entry.peers import Peers
-from eelgrassrack.mailbox.codec import decode_parcel, encode_parcel
-from eelgrassrack.mailbox.messages import AnyMessage, Bill, Load, Parcel, Presence
+from eelgrassrack.mailbox.codec import decode_batch, encode_batch
+from eelgrassrack.mailbox.messages import AnyMessage, Bill, Load, MessageBatch, Presence
 from eelgrassrack.mailbox.socket import Mailbox
 from eelgrassrack.standins.objects import ObjectTable, TableStore
 from eelgrassrack.store.head import DocumentHead, HeadState
@@ -108,8 +108,8 @@
 
 def wrap(sender: str, incarnation: str, message: AnyMessage) -> bytes:
     """Return a parcel of one message as bytes."""
-    parcel = Parcel(address=sender, incarnation=incarnation, messages=[message])
-    return encode_parcel(parcel)
+    batch = MessageBatch(address=sender, incarnation=incarnation, messages=[message])
+    return encode_batch(batch)
 
 
 class Place:
@@ -151,9 +151,9 @@
     data = wrap(place.instances[0].mailbox, "endpoint-00000.1", load)
 
     def take() -> None:
-        parcel = decode_parcel(data)
+        batch = decode_batch(data)
         endpoint = directory.take_load(
-            parcel.messages[0], parcel.address, parcel.incarnation, 0.1
+            batch.messages[0], batch.address, batch.incarnation, 0.1
         )
         peers.refresh_facts(
             endpoint=endpoint, load=load, snapshot=snapshot, quarantined=()
@@ -361,16 +361,16 @@
     loop = asyncio.get_running_loop()
     arrived = 0
 
-    def count(parcel: Parcel) -> None:
+    def count(batch: MessageBatch) -> None:
         nonlocal arrived
-        arrived += len(parcel.messages)
+        arrived += len(batch.messages)
 
     receivers = [
         Mailbox(address="tcp://127.0.0.1:0", incarnation=f"r.{number}", deliver=count)
         for number in range(size)
     ]
     sender = Mailbox(
-        address="tcp://127.0.0.1:0", incarnation="s.1", deliver=lambda parcel: None
+        address="tcp://127.0.0.1:0", incarnation="s.1", deliver=lambda batch: None
     )
     for mailbox in (*receivers, sender):
         mailbox.open()
--- a/eelgrassrack/agent/gate.py
+++ b/eelgrassrack/agent/admission.py
@@ -10,24 +10,24 @@
 from ..mailbox.messages import Facts, Refusal, Start
 
 
-class Open(msgspec.Struct, kw_only=True, frozen=True):
+class Admitted(msgspec.Struct, kw_only=True, frozen=True):
     """The attempt may start."""
 
 
-class Hold(msgspec.Struct, kw_only=True, frozen=True):
+class Deferred(msgspec.Struct, kw_only=True, frozen=True):
     """Whether it may start isn't known until newer facts come."""
 
 
-class Shut(msgspec.Struct, kw_only=True, frozen=True):
+class Refused(msgspec.Struct, kw_only=True, frozen=True):
     """The attempt must not start."""
 
     refusal: Refusal
 
 
-Verdict = Open | Hold | Shut
+AdmissionDecision = Admitted | Deferred | Refused
 
 
-class Standing(msgspec.Struct, kw_only=True):
+class AgentState(msgspec.Struct, kw_only=True):
     """What an agent knows of itself and its endpoint.
 
     `confirmed` is false after a pause of the agent's own, until an entry
@@ -68,28 +68,30 @@
         return start.version in self.facts.serves
 
 
-def judge(*, start: Start, standing: Standing, deadline: float, now: float) -> Verdict:
+def check_admission(
+    *, start: Start, state: AgentState, deadline: float, now: float
+) -> AdmissionDecision:
     """Return whether the attempt may start now."""
-    if start.agent != standing.incarnation:
-        return Shut(refusal=Refusal.OTHER_INCARNATION)
-    if standing.is_leaving():
-        return Shut(refusal=Refusal.LEAVING)
+    if start.agent != state.incarnation:
+        return Refused(refusal=Refusal.OTHER_INCARNATION)
+    if state.is_leaving():
+        return Refused(refusal=Refusal.LEAVING)
     if now >= deadline:
-        return Shut(refusal=Refusal.DEADLINE)
-    facts = standing.facts
-    if facts is None or not standing.confirmed or facts.revision < start.revision:
-        return Hold()
-    if standing.is_out():
-        return Shut(refusal=Refusal.DOMAIN_OUT)
-    if standing.is_withdrawn(start):
-        return Shut(refusal=Refusal.WITHDRAWN)
-    if not standing.is_served(start):
-        return Shut(refusal=Refusal.NOT_SERVED)
-    if start.fingerprint and start.fingerprint in standing.quarantined:
-        return Shut(refusal=Refusal.QUARANTINED)
-    if not standing.engine_up:
-        return Shut(refusal=Refusal.ENGINE_DOWN)
-    return Open()
+        return Refused(refusal=Refusal.DEADLINE)
+    facts = state.facts
+    if facts is None or not state.confirmed or facts.revision < start.revision:
+        return Deferred()
+    if state.is_out():
+        return Refused(refusal=Refusal.DOMAIN_OUT)
+    if state.is_withdrawn(start):
+        return Refused(refusal=Refusal.WITHDRAWN)
+    if not state.is_served(start):
+        return Refused(refusal=Refusal.NOT_SERVED)
+    if start.fingerprint and start.fingerprint in state.quarantined:
+        return Refused(refusal=Refusal.QUARANTINED)
+    if not state.engine_up:
+        return Refused(refusal=Refusal.ENGINE_DOWN)
+    return Admitted()
 
 
 def merge_facts(known: Facts | None, offered: Facts) -> Facts:
--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -9,7 +9,7 @@
 from ..decisions.coldstart import CollapseReason
 from ..incarnations import make_incarnation
 from ..invariants import Invariants, Promise
-from ..mailbox.messages import AnyMessage, Bill, Parcel
+from ..mailbox.messages import AnyMessage, Bill, MessageBatch
 from ..mailbox.socket import Mailbox
 from ..metrics import (
     CRASHES,
@@ -20,18 +20,18 @@
 from ..store.objects import ObjectStore
 from ..store.pricing import price_bill
 from ..supervisor import Supervisor
+from .admission import AgentState
 from .attempts import Attempts
 from .core import Core, make_core
 from .custody import BillKeeper
 from .engine import HttpEngine
 from .entries import Entries
-from .gate import Standing
 from .health import POLL_SECONDS, Health
 from .heartbeat import Heartbeat
 from .inbox import Inbox
 from .intake import Intake
 from .outbox import Outbox
-from .pause import PauseWatch
+from .pause import PauseDetector
 from .quarantine import Quarantine
 from .relay import Relay
 from .replies import Replies
@@ -72,7 +72,7 @@
         "_quarantine",
         "_runner",
         "_settings",
-        "_standing",
+        "_state",
         "_store",
         "_supervisor",
         "_swept_at",
@@ -104,7 +104,7 @@
         self._supervisor = Supervisor(name="agent")
         self._entries = Entries(name=settings.name)
         self._quarantine = Quarantine()
-        self._standing = Standing(
+        self._state = AgentState(
             endpoint=settings.name,
             domain=settings.domain,
             pool=settings.pool,
@@ -112,12 +112,12 @@
         )
         self._mailbox = Mailbox(
             address=settings.mailbox,
-            incarnation=self._standing.incarnation,
+            incarnation=self._state.incarnation,
             deliver=self._deliver,
         )
         self._outbox = Outbox(post=self._post)
-        self._pause = PauseWatch(
-            standing=self._standing,
+        self._pause = PauseDetector(
+            state=self._state,
             entries=self._entries,
             post=self._post,
             clock=clock,
@@ -135,12 +135,12 @@
             attempts=self._attempts, outbox=self._outbox, metrics=self._metrics
         )
         self._core: Core = make_core(
-            standing=self._standing,
+            state=self._state,
             attempts=self._attempts,
             relay=relay,
             clock=self._clock,
             invariants=self.invariants,
-            notice=self._pause.notice,
+            detect_pause=self._pause.detect_pause,
         )
         self._heartbeat = Heartbeat(
             core=self._core,
@@ -165,7 +165,7 @@
         replies = Replies(
             attempts=self._attempts,
             relay=relay,
-            standing=self._standing,
+            state=self._state,
             clock=self._clock,
         )
         self._inbox = Inbox(
@@ -188,7 +188,7 @@
     @property
     def incarnation(self) -> str:
         """Return the name of this start of the agent."""
-        return self._standing.incarnation
+        return self._state.incarnation
 
     async def start(self) -> None:
         """Listen and begin to follow entries and the endpoint's health.
@@ -209,7 +209,7 @@
         still get a true refusal, and at most `grace_seconds`.
         """
         log.info("agent: {} leaves", self.incarnation)
-        self._standing.leaving = True
+        self._state.leaving = True
         self._intake.refuse_waiting()
         self._outbox.flush()
         self._heartbeat.send()
@@ -244,7 +244,7 @@
             self._attempts.settle(key=key, now=self._clock())
 
     def _price(self, bill: Bill) -> int:
-        facts = self._standing.facts
+        facts = self._state.facts
         cost = facts.costs.get(bill.version, 0.0) if facts else 0.0
         return price_bill(bill=bill, cost=cost)
 
@@ -252,7 +252,7 @@
         """Stop at once and without a word, as a killed process does."""
         self._mailbox.close()
         # Each slot that is freed would otherwise start what waits.
-        self._standing.leaving = True
+        self._state.leaving = True
         self._core.slots.stop_all()
         await self._close()
 
@@ -275,8 +275,8 @@
         """End a stop that is under way at once."""
         self._hurry.set()
 
-    def _deliver(self, parcel: Parcel) -> None:
-        self._inbox.deliver(parcel)
+    def _deliver(self, batch: MessageBatch) -> None:
+        self._inbox.deliver(batch)
 
     def _post(self, to: str, message: AnyMessage) -> None:
         self._mailbox.post(to=to, message=message)
@@ -312,22 +312,22 @@
         """Forget what is over and look after the bills."""
         self._swept_at = now
         self._quarantine.expire(now=now)
-        self._standing.quarantined = self._quarantine.fingerprints
+        self._state.quarantined = self._quarantine.fingerprints
         self._attempts.expire(now=now)
         self._keeper.tick(now=now)
         needed = {attempt.owner for attempt in self._attempts.live.values()}
         self._entries.forget_lost(needed=needed, now=now)
         self._renew_if_full()
-        self._mailbox.forget_idle()
+        self._mailbox.close_idle()
 
     def _renew_if_full(self) -> None:
         """Go on as another incarnation when nothing more can be remembered."""
         if not self._attempts.is_full or not self._core.is_idle:
             return
-        self._standing.incarnation = make_incarnation(name=self._settings.name)
-        self._mailbox.incarnation = self._standing.incarnation
+        self._state.incarnation = make_incarnation(name=self._settings.name)
+        self._mailbox.incarnation = self._state.incarnation
         self._attempts.forget_records()
-        log.info("agent: goes on as {}", self._standing.incarnation)
+        log.info("agent: goes on as {}", self._state.incarnation)
 
     async def _keep_polling(self) -> None:
         while True:
@@ -335,15 +335,15 @@
             await self._poll_health()
 
     async def _poll_health(self) -> None:
-        was_up = self._standing.engine_up
+        was_up = self._state.engine_up
         await self._health.poll()
         self._take_health()
-        if self._standing.engine_up != was_up:
+        if self._state.engine_up != was_up:
             self._heartbeat.send()
         self._runner.pump()
 
     def _take_health(self) -> None:
-        self._standing.engine_up = self._health.is_up
+        self._state.engine_up = self._health.is_up
         self._core.window.is_growth_paused = self._health.is_cold
 
     async def _follow_instances(self) -> None:
@@ -351,12 +351,12 @@
 
     def _take_listing(self, instances: tuple[Instance, ...]) -> None:
         self._entries.take_listing(instances, now=self._clock())
-        self._standing.listed_leaving = any(
+        self._state.listed_leaving = any(
             instance.leaving
             for instance in instances
             if instance.role is Role.ENDPOINT and instance.name == self._settings.name
         )
-        if self._standing.listed_leaving:
+        if self._state.listed_leaving:
             self._intake.refuse_waiting()
         self._heartbeat.send()
 
--- a/eelgrassrack/agent/waitingroom.py
+++ b/eelgrassrack/agent/attemptqueue.py
@@ -12,7 +12,7 @@
 from ..decisions.fairqueue import FairQueue, QueuedRequest
 from ..decisions.waiting import count_ahead, is_patient
 from .attempts import Attempt
-from .drain import Drain, find_retry_after
+from .drainrate import DrainRate, find_retry_after
 
 # The bytes bound the agent's memory, the number the work of one turn.
 MAX_WAITING = 512
@@ -22,7 +22,7 @@
 MOST_REPORTED = 8
 
 
-class WaitingRoom:
+class AttemptQueue:
     """All attempts that wait."""
 
     __slots__ = (
@@ -37,7 +37,7 @@
     )
 
     def __init__(self) -> None:
-        self.drain = Drain()
+        self.drain = DrainRate()
         self.held: dict[str, Attempt] = {}
         self._queue = FairQueue()
         self._attempts: dict[str, Attempt] = {}
--- a/eelgrassrack/agent/attempts.py
+++ b/eelgrassrack/agent/attempts.py
@@ -8,7 +8,7 @@
 import enum
 
 from ..mailbox.messages import Ended, NotStarted, Refusal, Start
-from .records import Forgotten, Record, Records
+from .records import AttemptRecords, Forgotten, Record
 
 # Bytes of answers kept for entries that may ask for them again.
 MAX_KEPT_BYTES = 8_000_000
@@ -100,7 +100,7 @@
         self.live: dict[str, Attempt] = {}
         self.running: dict[str, Attempt] = {}
         self.unsettled: dict[str, Attempt] = {}
-        self._records = Records(now=now)
+        self._records = AttemptRecords(now=now)
         self._kept_bytes = 0
 
     @property
@@ -112,7 +112,7 @@
         """Return what is known of an attempt."""
         return self.live.get(key) or self._records.find(key=key)
 
-    def has_phase(self, phase: Phase) -> list[Attempt]:
+    def find_by_phase(self, phase: Phase) -> list[Attempt]:
         """Return the attempts that have come this far."""
         return [each for each in self.live.values() if each.phase is phase]
 
@@ -175,7 +175,7 @@
         """Forget what nobody may ask for any more."""
         old = [
             attempt
-            for attempt in self.has_phase(Phase.ENDED)
+            for attempt in self.find_by_phase(Phase.ENDED)
             if attempt.settled and attempt.may_be_forgotten(now)
         ]
         for attempt in old:
@@ -212,7 +212,7 @@
         """
         if self._kept_bytes <= MAX_KEPT_BYTES:
             return
-        for attempt in self.has_phase(Phase.ENDED)[:-1]:
+        for attempt in self.find_by_phase(Phase.ENDED)[:-1]:
             self._drop_pieces(attempt)
             if self._kept_bytes <= MAX_KEPT_BYTES:
                 return
--- a/eelgrassrack/agent/core.py
+++ b/eelgrassrack/agent/core.py
@@ -9,43 +9,43 @@
 from ..decisions.reserve import SlotReserve
 from ..invariants import Invariants, Promise
 from ..mailbox.messages import Facts, Load, Refusal
+from .admission import AdmissionDecision, AgentState, check_admission, merge_facts
+from .attemptqueue import AttemptQueue
 from .attempts import Attempt, Attempts, Phase
-from .gate import Standing, Verdict, judge, merge_facts
 from .relay import Relay
 from .slots import Slots
-from .waitingroom import WaitingRoom
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Core:
     """The state of all attempts at one endpoint.
 
-    `notice` is called before each judgement, to find out about a pause.
+    `detect_pause` is called before each judgement, to find out about a pause.
     """
 
-    standing: Standing
+    state: AgentState
     attempts: Attempts
     relay: Relay
-    room: WaitingRoom
+    queue: AttemptQueue
     slots: Slots
     reserve: SlotReserve
     window: Window
     clock: Callable[[], float]
     invariants: Invariants
-    notice: Callable[[], None]
+    detect_pause: Callable[[], None]
     parked: Attempt | None = None
 
     @property
     def is_idle(self) -> bool:
         """Tell whether nothing runs or waits."""
-        return not (len(self.slots) or len(self.room) or self.parked)
+        return not (len(self.slots) or len(self.queue) or self.parked)
 
-    def judge(self, attempt: Attempt) -> Verdict:
+    def check_admission(self, attempt: Attempt) -> AdmissionDecision:
         """Return whether an attempt may start now."""
-        self.notice()
-        return judge(
+        self.detect_pause()
+        return check_admission(
             start=attempt.start,
-            standing=self.standing,
+            state=self.state,
             deadline=attempt.deadline,
             now=self.clock(),
         )
@@ -55,26 +55,26 @@
         queued = attempt.phase is Phase.QUEUED
         if not self.invariants.check(Promise.NOT_RUN, queued, attempt.key):
             return
-        self.room.discard(attempt)
+        self.queue.discard(attempt)
         if self.parked is attempt:
             self.parked = None
         self.slots.stop(attempt)
         now = self.clock()
-        retry_after = self.room.find_retry(
+        retry_after = self.queue.find_retry(
             tokens=attempt.start.tokens, window=self.window.size, now=now
         )
         self.relay.refuse(attempt, refusal, retry_after=retry_after, now=now)
 
     def take_facts(self, facts: Facts) -> bool:
         """Take over facts; return whether they are newer than those in force."""
-        known = self.standing.facts
+        known = self.state.facts
         merged = merge_facts(known, facts)
         self.invariants.check(
             Promise.CONFIGURATION,
             known is None or merged.revision >= known.revision,
             f"revision {merged.revision} after {known and known.revision}",
         )
-        self.standing.facts = merged
+        self.state.facts = merged
         self.window.resize(floor=merged.cold_concurrency, ceiling=merged.concurrency)
         return known is None or merged.revision > known.revision
 
@@ -84,7 +84,7 @@
         Return false if the facts known here are older than `since`: then
         something has changed that isn't known.
         """
-        facts = self.standing.facts
+        facts = self.state.facts
         if facts is None or facts.revision < since:
             return False
         if revision > facts.revision:
@@ -97,46 +97,46 @@
 
     def make_load(self) -> Load:
         """Return the load report that heartbeats carry."""
-        facts = self.standing.facts or Facts(revision=0)
+        facts = self.state.facts or Facts(revision=0)
         return Load(
-            endpoint=self.standing.endpoint,
-            domain=self.standing.domain,
-            pool=self.standing.pool,
+            endpoint=self.state.endpoint,
+            domain=self.state.domain,
+            pool=self.state.pool,
             revision=facts.revision,
             serves=facts.serves,
             service=facts.service,
             window=self.window.size,
             running=len(self.slots),
-            queued=len(self.room),
-            queued_tokens=self.room.tokens,
-            queued_by=self.room.find_largest(),
-            patient_by=self.room.find_patient(),
-            drain=self.room.drain.find_rate(window=self.window.size),
-            leaving=self.standing.is_leaving(),
+            queued=len(self.queue),
+            queued_tokens=self.queue.tokens,
+            queued_by=self.queue.find_largest(),
+            patient_by=self.queue.find_patient(),
+            drain=self.queue.drain.find_rate(window=self.window.size),
+            leaving=self.state.is_leaving(),
             cold=self.window.is_cold,
-            engine_up=self.standing.engine_up,
+            engine_up=self.state.engine_up,
         )
 
 
 def make_core(
     *,
-    standing: Standing,
+    state: AgentState,
     attempts: Attempts,
     relay: Relay,
     clock: Callable[[], float],
     invariants: Invariants,
-    notice: Callable[[], None] = lambda: None,
+    detect_pause: Callable[[], None] = lambda: None,
 ) -> Core:
     """Return the state of an agent that has just started."""
     return Core(
-        standing=standing,
+        state=state,
         attempts=attempts,
         relay=relay,
-        room=WaitingRoom(),
+        queue=AttemptQueue(),
         slots=Slots(),
         reserve=SlotReserve(),
         window=Window(floor=1, ceiling=1, now=clock()),
         clock=clock,
         invariants=invariants,
-        notice=notice,
+        detect_pause=detect_pause,
     )
--- a/eelgrassrack/agent/drain.py
+++ b/eelgrassrack/agent/drainrate.py
@@ -17,7 +17,7 @@
 LONGEST_RETRY = 60.0
 
 
-class Drain:
+class DrainRate:
     """The measured speed of a slot."""
 
     __slots__ = ("speed",)
--- a/eelgrassrack/agent/inbox.py
+++ b/eelgrassrack/agent/inbox.py
@@ -9,7 +9,7 @@
     Facts,
     FactsKept,
     Hello,
-    Parcel,
+    MessageBatch,
     Presence,
     Quarantined,
     Resume,
@@ -20,7 +20,7 @@
 from .entries import Entries
 from .intake import Intake
 from .outbox import Post
-from .pause import PauseWatch
+from .pause import PauseDetector
 from .quarantine import Quarantine
 from .replies import Replies
 from .runner import Runner
@@ -49,7 +49,7 @@
         intake: Intake,
         runner: Runner,
         replies: Replies,
-        pause: PauseWatch,
+        pause: PauseDetector,
         quarantine: Quarantine,
         post: Post,
         on_newer: Callable[[], None],
@@ -65,23 +65,23 @@
         self._post = post
         self._on_newer = on_newer
 
-    def deliver(self, parcel: Parcel) -> None:
+    def deliver(self, batch: MessageBatch) -> None:
         """Take what an entry sent."""
-        self._pause.notice()
+        self._pause.detect_pause()
         self._entries.hear(
-            address=parcel.address,
-            incarnation=parcel.incarnation,
+            address=batch.address,
+            incarnation=batch.incarnation,
             now=self._core.clock(),
         )
-        for message in parcel.messages:
-            self._take(message, parcel)
+        for message in batch.messages:
+            self._take(message, batch)
         self._runner.pump()
 
-    def _take(self, message: AnyMessage, parcel: Parcel) -> None:
-        sender = parcel.address
+    def _take(self, message: AnyMessage, batch: MessageBatch) -> None:
+        sender = batch.address
         match message:
             case Start():
-                incarnation = parcel.incarnation
+                incarnation = batch.incarnation
                 self._intake.take(start=message, sender=sender, incarnation=incarnation)
             case Cancel():
                 self._runner.cancel(message, sender)
@@ -118,7 +118,7 @@
 
     def _release(self) -> None:
         """Judge again what waits for facts, unless those known are in doubt."""
-        if self._core.standing.confirmed:
+        if self._core.state.confirmed:
             self._intake.release()
 
     def _take_presence(self, presence: Presence, sender: str) -> None:
@@ -131,4 +131,4 @@
 
     def _add_quarantined(self, fingerprints: tuple[str, ...]) -> None:
         self._quarantine.add(fingerprints, now=self._core.clock())
-        self._core.standing.quarantined = self._quarantine.fingerprints
+        self._core.state.quarantined = self._quarantine.fingerprints
--- a/eelgrassrack/agent/intake.py
+++ b/eelgrassrack/agent/intake.py
@@ -1,9 +1,9 @@
 """Take attempts in, queue or refuse them, and choose whose turn it is."""
 
 from ..mailbox.messages import Hello, NotStarted, Refusal, Start
+from .admission import Admitted, Deferred, Refused
 from .attempts import Attempt, Phase
 from .core import Core
-from .gate import Hold, Open, Shut
 from .records import Forgotten, Record
 
 # How long an attempt waits for facts that it is newer than.  An entry
@@ -52,7 +52,7 @@
 
     def release(self) -> None:
         """Judge those that wait for facts again."""
-        for attempt in self._core.room.release_held():
+        for attempt in self._core.queue.release_held():
             self._admit(attempt)
 
     def refuse_waiting(self) -> None:
@@ -61,17 +61,17 @@
         for attempt in live:
             if attempt.phase is not Phase.QUEUED:
                 continue
-            verdict = self._core.judge(attempt)
-            if isinstance(verdict, Shut):
+            verdict = self._core.check_admission(attempt)
+            if isinstance(verdict, Refused):
                 self._core.refuse(attempt, verdict.refusal)
 
     def tick(self) -> None:
         """Refuse what waited too long."""
         core = self._core
         now = core.clock()
-        for attempt in core.room.expire(now=now):
+        for attempt in core.queue.expire(now=now):
             core.refuse(attempt, Refusal.DEADLINE)
-        for attempt in list(core.room.held.values()):
+        for attempt in list(core.queue.held.values()):
             if now >= min(attempt.held_until, attempt.deadline):
                 late = now >= attempt.deadline
                 core.refuse(attempt, Refusal.DEADLINE if late else Refusal.STALE)
@@ -81,12 +81,12 @@
     def choose(self) -> Attempt | None:
         """Return the next attempt that may start now, if there is room."""
         while (attempt := self._find_next()) is not None:
-            match self._core.judge(attempt):
-                case Shut(refusal=refusal):
+            match self._core.check_admission(attempt):
+                case Refused(refusal=refusal):
                     self._core.refuse(attempt, refusal)
-                case Hold():
+                case Deferred():
                     self._hold(attempt)
-                case Open():
+                case Admitted():
                     return attempt
         return None
 
@@ -96,17 +96,17 @@
         Neither kind is ever taken by this incarnation, so the refusal
         stays true without being remembered.
         """
-        if start.agent != self._core.standing.incarnation:
+        if start.agent != self._core.state.incarnation:
             return Refusal.OTHER_INCARNATION
         return Refusal.FULL if self._core.attempts.is_full else None
 
     def _admit(self, attempt: Attempt) -> None:
-        match self._core.judge(attempt):
-            case Shut(refusal=refusal):
+        match self._core.check_admission(attempt):
+            case Refused(refusal=refusal):
                 self._core.refuse(attempt, refusal)
-            case Hold():
+            case Deferred():
                 self._hold(attempt)
-            case Open():
+            case Admitted():
                 self._enqueue(attempt)
 
     def _hold(self, attempt: Attempt) -> None:
@@ -118,24 +118,24 @@
         if now >= attempt.held_until:
             core.refuse(attempt, Refusal.STALE)
             return
-        core.room.held[attempt.key] = attempt
-        core.relay.say(attempt.owner, Hello(question=core.standing.question))
-        if core.room.is_full:
+        core.queue.held[attempt.key] = attempt
+        core.relay.say(attempt.owner, Hello(question=core.state.question))
+        if core.queue.is_full:
             core.refuse(attempt, Refusal.FULL)
 
     def _enqueue(self, attempt: Attempt) -> None:
         core = self._core
-        weights = core.standing.facts.weights
+        weights = core.state.facts.weights
         window = core.window.size
-        wait = core.room.estimate_wait(attempt, weights=weights, window=window)
+        wait = core.queue.estimate_wait(attempt, weights=weights, window=window)
         late = core.clock() + wait >= attempt.deadline
         if late or len(core.attempts.unsettled) >= MAX_UNSETTLED:
             core.refuse(attempt, Refusal.FULL)
             return
         weight = weights.get(attempt.start.organisation, 1.0)
-        core.room.add(attempt, weight=weight)
-        if core.room.is_full:
-            core.refuse(core.room.find_displaced() or attempt, Refusal.FULL)
+        core.queue.add(attempt, weight=weight)
+        if core.queue.is_full:
+            core.refuse(core.queue.find_displaced() or attempt, Refusal.FULL)
 
     def _find_next(self) -> Attempt | None:
         """Return whose turn it is.
@@ -156,7 +156,7 @@
             return None
         now = core.clock()
         may_start = core.reserve.judge(free=free, window=core.window.size, now=now)
-        attempt = core.room.pop(now=now, may_start=may_start)
+        attempt = core.queue.pop(now=now, may_start=may_start)
         if attempt is not None and attempt.start.alone and len(core.slots):
             core.parked = attempt
             return None
--- a/eelgrassrack/agent/pause.py
+++ b/eelgrassrack/agent/pause.py
@@ -16,8 +16,8 @@
 import logbook
 
 from ..mailbox.messages import Hello
+from .admission import AgentState
 from .entries import Entries
-from .gate import Standing
 from .outbox import Post
 
 log = logbook.Logger("pause")
@@ -31,7 +31,7 @@
 QUESTION_BITS = 53
 
 
-class PauseWatch:
+class PauseDetector:
     """Notice pauses and have the facts confirmed after one."""
 
     __slots__ = (
@@ -39,26 +39,26 @@
         "_clock",
         "_entries",
         "_post",
-        "_standing",
+        "_state",
         "_ticked_at",
     )
 
     def __init__(
         self,
         *,
-        standing: Standing,
+        state: AgentState,
         entries: Entries,
         post: Post,
         clock: Callable[[], float],
     ) -> None:
-        self._standing = standing
+        self._state = state
         self._entries = entries
         self._post = post
         self._clock = clock
         self._ticked_at = clock()
         self._asked_at = float("-inf")
 
-    def notice(self) -> None:
+    def detect_pause(self) -> None:
         """Look for a gap; called before anything is decided."""
         now = self._clock()
         gap = now - self._ticked_at
@@ -66,31 +66,31 @@
             return
         log.warning("pause: this process stood still for {:.1f} s", gap)
         self._ticked_at = now
-        self._standing.confirmed = False
-        self._standing.question = 1 + secrets.randbits(QUESTION_BITS)
+        self._state.confirmed = False
+        self._state.question = 1 + secrets.randbits(QUESTION_BITS)
         self._entries.note_pause(now=now)
         self._ask(now)
 
     def tick(self) -> None:
         """Ask the parents for the revision in force, while it is unknown."""
-        self.notice()
+        self.detect_pause()
         now = self._clock()
         self._ticked_at = now
-        if not self._standing.confirmed and now - self._asked_at >= ASK_AGAIN_SECONDS:
+        if not self._state.confirmed and now - self._asked_at >= ASK_AGAIN_SECONDS:
             self._ask(now)
 
     def confirm(self, *, revision: int, answers: int) -> bool:
         """Take an entry's revision; return true when it ends the doubt."""
-        facts = self._standing.facts
-        if self._standing.confirmed or facts is None:
+        facts = self._state.facts
+        if self._state.confirmed or facts is None:
             return False
-        if answers != self._standing.question or revision > facts.revision:
+        if answers != self._state.question or revision > facts.revision:
             return False
-        self._standing.confirmed = True
+        self._state.confirmed = True
         log.info("pause: revision {} confirmed", facts.revision)
         return True
 
     def _ask(self, now: float) -> None:
         self._asked_at = now
         for address in self._entries.find_parents(now=now):
-            self._post(address, Hello(question=self._standing.question))
+            self._post(address, Hello(question=self._state.question))
--- a/eelgrassrack/agent/records.py
+++ b/eelgrassrack/agent/records.py
@@ -42,7 +42,7 @@
     """An attempt that started; how it ended is no longer known."""
 
 
-class Records:
+class AttemptRecords:
     """Records by attempt, the oldest first."""
 
     __slots__ = ("_by_attempt", "_refused", "_refused_before", "_started", "_turned_at")
--- a/eelgrassrack/agent/replies.py
+++ b/eelgrassrack/agent/replies.py
@@ -14,8 +14,8 @@
     UnknownAttempt,
     Waits,
 )
+from .admission import AgentState
 from .attempts import Attempt, Attempts, Phase
-from .gate import Standing
 from .records import Forgotten, Record
 from .relay import Relay
 
@@ -23,19 +23,19 @@
 class Replies:
     """Answer `Ask`, `Resume` and `Settle`."""
 
-    __slots__ = ("_attempts", "_clock", "_relay", "_standing")
+    __slots__ = ("_attempts", "_clock", "_relay", "_state")
 
     def __init__(
         self,
         *,
         attempts: Attempts,
         relay: Relay,
-        standing: Standing,
+        state: AgentState,
         clock: Callable[[], float],
     ) -> None:
         self._attempts = attempts
         self._relay = relay
-        self._standing = standing
+        self._state = state
         self._clock = clock
 
     def answer(self, ask: Ask, sender: str) -> None:
@@ -97,7 +97,7 @@
             self._attempts.settle(key=key, now=self._clock())
 
     def _is_other(self, agent: str) -> bool:
-        return agent != self._standing.incarnation
+        return agent != self._state.incarnation
 
     def _vow(self, key: str, sender: str) -> None:
         if self._attempts.is_full:
--- a/eelgrassrack/agent/runner.py
+++ b/eelgrassrack/agent/runner.py
@@ -23,12 +23,12 @@
     Refusal,
     UnknownAttempt,
 )
+from .admission import Deferred, Refused
 from .attempts import Attempt, Phase
 from .bills import bill_cancelled, bill_whole
 from .core import Core
 from .crashes import CrashWatch, IsAlive
 from .engine import Engine
-from .gate import Hold, Shut
 from .intake import Intake
 from .outcomes import Bad, Broken, NotConnected, Outcome, Whole
 from .records import Forgotten, Record
@@ -72,7 +72,7 @@
         self._is_alive = is_alive
         self._look: asyncio.Task[None] | None = None
         self._crashes = CrashWatch(
-            endpoint=core.standing.endpoint,
+            endpoint=core.state.endpoint,
             attempts=core.attempts,
             is_alive=is_alive,
             announce=announce,
@@ -88,7 +88,7 @@
             self._core.reserve.start(
                 organisation=attempt.start.organisation, now=self._core.clock()
             )
-        if self._core.window.needs_probe and len(self._core.room):
+        if self._core.window.needs_probe and len(self._core.queue):
             self._begin_look()
 
     def tick(self) -> None:
@@ -178,10 +178,10 @@
         return True
 
     def _find_last_refusal(self, attempt: Attempt) -> Refusal | None:
-        match self._core.judge(attempt):
-            case Shut(refusal=refusal):
+        match self._core.check_admission(attempt):
+            case Refused(refusal=refusal):
                 return refusal
-            case Hold():
+            case Deferred():
                 return Refusal.STALE
         # The window may have closed while the connection was made.
         if len(self._core.attempts.running) >= self._core.window.limit:
@@ -190,13 +190,13 @@
 
     def _check_start(self, attempt: Attempt) -> None:
         check = self._core.invariants.check
-        standing = self._core.standing
+        state = self._core.state
         version = attempt.start.version
         running = len(self._core.attempts.running)
         fits = running < self._core.window.limit
-        check(Promise.WITHDRAWN, not standing.is_withdrawn(attempt.start), version)
-        check(Promise.DOMAIN_OUT, not standing.is_out(), standing.domain)
-        check(Promise.LEAVING, not standing.is_leaving(), standing.endpoint)
+        check(Promise.WITHDRAWN, not state.is_withdrawn(attempt.start), version)
+        check(Promise.DOMAIN_OUT, not state.is_out(), state.domain)
+        check(Promise.LEAVING, not state.is_leaving(), state.endpoint)
         check(Promise.COLD_START, fits, f"{running} run")
 
     def _pass_on(self, attempt: Attempt, data: bytes) -> None:
@@ -217,7 +217,7 @@
                 finish = Finish.ENGINE_CRASHED if crashed else Finish.CUT
                 self._end(attempt, finish, reason=reason)
             case NotConnected(reason=reason):
-                self._core.standing.engine_up = False
+                self._core.state.engine_up = False
                 self._abandon(attempt, reason)
 
     def _abandon(self, attempt: Attempt, reason: str) -> None:
@@ -236,7 +236,7 @@
         now = core.clock()
         start = attempt.start
         core.window.complete(now=now, began=attempt.began)
-        core.room.drain.observe(tokens=start.tokens, seconds=now - attempt.began)
+        core.queue.drain.observe(tokens=start.tokens, seconds=now - attempt.began)
         self._end(
             attempt,
             Finish.WHOLE,
@@ -287,13 +287,13 @@
         self._core.slots.stop(attempt)
 
     def _take_crash(self) -> None:
-        self._core.standing.engine_up = False
+        self._core.state.engine_up = False
         self._core.collapse(CollapseReason.ENGINE_FAILED)
 
     def _cancel_unseen(self, cancel: Cancel, sender: str) -> None:
         core = self._core
         now = core.clock()
-        if cancel.agent == core.standing.incarnation:
+        if cancel.agent == core.state.incarnation:
             core.relay.vow(sender, cancel.attempt, Refusal.CANCELLED, now=now)
             return
         # A predecessor may have run it; only the vow not to start it from
--- a/eelgrassrack/entry/entry.py
+++ b/eelgrassrack/entry/entry.py
@@ -15,7 +15,7 @@
 from ..invariants import Invariants, Promise
 from ..lingering import NOT_READ
 from ..listening import stop_listening
-from ..mailbox.messages import AnyMessage, Bill, Parcel
+from ..mailbox.messages import AnyMessage, Bill, MessageBatch
 from ..mailbox.socket import Mailbox
 from ..metrics import Metrics
 from ..settings import EntrySettings
@@ -275,9 +275,9 @@
         self._hurry.set()
         self._end_by(self._loop.time())
 
-    def deliver(self, parcel: Parcel) -> None:
+    def deliver(self, batch: MessageBatch) -> None:
         """Take what an agent or another entry sent."""
-        self._inbox.deliver(parcel)
+        self._inbox.deliver(batch)
 
     def _post(self, to: str, message: AnyMessage) -> None:
         self._mailbox.post(to=to, message=message)
@@ -325,7 +325,7 @@
         if now - self._heartbeat_at < BEAT_SECONDS:
             return
         self.directory.drop_silent(now)
-        self._mailbox.forget_idle()
+        self._mailbox.close_idle()
         self._send_heartbeats()
         self._measure()
 
--- a/eelgrassrack/entry/inbox.py
+++ b/eelgrassrack/entry/inbox.py
@@ -11,7 +11,7 @@
     Ended,
     Hello,
     Load,
-    Parcel,
+    MessageBatch,
     Piece,
     Presence,
     Quarantined,
@@ -66,18 +66,18 @@
         self._post = post
         self._suspects = suspects
 
-    def deliver(self, parcel: Parcel) -> None:
+    def deliver(self, batch: MessageBatch) -> None:
         """Take what an agent or another entry sent."""
         self._configuration.tick()
         now = self._clock()
-        sender = parcel.incarnation
-        for message in parcel.messages:
+        sender = batch.incarnation
+        for message in batch.messages:
             # Pieces are nearly all that comes; each pattern that is tried on
             # one in vain costs as much as its hash.
             if type(message) is Piece:
                 self._channels.take_piece(message, sender, now)
             else:
-                self._take(message, parcel, now)
+                self._take(message, batch, now)
 
     def build_presence(self, *, answers: int = 0) -> Presence:
         """Return this entry's heartbeat."""
@@ -87,15 +87,15 @@
             answers=answers,
         )
 
-    def _take(self, message: AnyMessage, parcel: Parcel, now: float) -> None:
+    def _take(self, message: AnyMessage, batch: MessageBatch, now: float) -> None:
         match message:
             case Load():
-                self._take_load(message, parcel, now)
+                self._take_load(message, batch, now)
             case Presence(revision=revision, answers=answers):
-                self._configuration.confirm(revision, parcel.address, answers)
+                self._configuration.confirm(revision, batch.address, answers)
             case Hello(question=question):
                 self._configuration.call_when_sure(
-                    lambda: self._answer_hello(question, parcel)
+                    lambda: self._answer_hello(question, batch)
                 )
             case Crash():
                 self._suspects.take_crash(message)
@@ -104,25 +104,27 @@
             case Quarantined(fingerprints=fingerprints):
                 self._suspects.merge(fingerprints)
             case Custody():
-                self._billing.take_custody(custody=message, address=parcel.address)
+                self._billing.take_custody(custody=message, address=batch.address)
             case WantDocument():
                 self._configuration.call_when_sure(
-                    lambda: self._answer_want(message, parcel.address)
+                    lambda: self._answer_want(message, batch.address)
                 )
             case DocumentCopy():
                 self._configuration.take_copy(message)
             case _:
-                self._take_progress(message, parcel, now)
+                self._take_progress(message, batch, now)
 
-    def _take_progress(self, message: AnyMessage, parcel: Parcel, now: float) -> None:
+    def _take_progress(
+        self, message: AnyMessage, batch: MessageBatch, now: float
+    ) -> None:
         if isinstance(message, Ended) and message.bill is not None:
             self._meter.note_bill(message.bill)
-            self._billing.take(bill=message.bill, address=parcel.address)
-        self._channels.take(message, parcel.incarnation, now)
+            self._billing.take(bill=message.bill, address=batch.address)
+        self._channels.take(message, batch.incarnation, now)
 
-    def _take_load(self, load: Load, parcel: Parcel, now: float) -> None:
+    def _take_load(self, load: Load, batch: MessageBatch, now: float) -> None:
         endpoint = self._directory.take_load(
-            load, parcel.address, parcel.incarnation, now
+            load, batch.address, batch.incarnation, now
         )
         self._peers.refresh_facts(
             endpoint=endpoint,
@@ -131,15 +133,15 @@
             quarantined=self._suspects.quarantined,
         )
 
-    def _answer_hello(self, question: int, parcel: Parcel) -> None:
-        endpoint = self._directory.find_address(parcel.address)
+    def _answer_hello(self, question: int, batch: MessageBatch) -> None:
+        endpoint = self._directory.find_address(batch.address)
         if endpoint is not None:
             self._peers.send_facts(
                 endpoint=endpoint,
                 snapshot=self._configuration.snapshot,
                 quarantined=self._suspects.quarantined,
             )
-        self._post(parcel.address, self.build_presence(answers=question))
+        self._post(batch.address, self.build_presence(answers=question))
 
     def _answer_want(self, want: WantDocument, address: str) -> None:
         if self._configuration.snapshot.revision > want.revision:
--- a/eelgrassrack/mailbox/codec.py
+++ b/eelgrassrack/mailbox/codec.py
@@ -3,26 +3,26 @@
 import msgspec
 
 from .errors import MailboxError
-from .messages import PROTOCOL, Parcel
+from .messages import PROTOCOL, MessageBatch
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Parcel)
+_decoder = msgspec.msgpack.Decoder(MessageBatch)
 
 
-def encode_parcel(parcel: Parcel) -> bytes:
+def encode_batch(batch: MessageBatch) -> bytes:
     """Return a parcel as bytes."""
-    return _encoder.encode(parcel)
+    return _encoder.encode(batch)
 
 
-def decode_parcel(data: bytes) -> Parcel:
+def decode_batch(data: bytes) -> MessageBatch:
     """Return the parcel that the bytes hold.
 
     Raise `MailboxError` for bytes of another protocol or of none.
     """
     try:
-        parcel = _decoder.decode(data)
+        batch = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise MailboxError(f"a parcel can't be read: {error}") from error
-    if parcel.protocol != PROTOCOL:
-        raise MailboxError(f"a parcel of protocol {parcel.protocol} came")
-    return parcel
+    if batch.protocol != PROTOCOL:
+        raise MailboxError(f"a parcel of protocol {batch.protocol} came")
+    return batch
--- a/eelgrassrack/mailbox/messages.py
+++ b/eelgrassrack/mailbox/messages.py
@@ -354,7 +354,7 @@
 )
 
 
-class Parcel(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
+class MessageBatch(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
     """What one process sends another in one go.
 
     `address` is the sender's mailbox address, `incarnation` is new each
--- a/eelgrassrack/mailbox/socket.py
+++ b/eelgrassrack/mailbox/socket.py
@@ -18,13 +18,13 @@
 import pynng
 from pynng import lib
 
-from .codec import decode_parcel, encode_parcel
+from .codec import decode_batch, encode_batch
 from .errors import MailboxError
-from .messages import AnyMessage, Parcel
+from .messages import AnyMessage, MessageBatch
 
 log = logbook.Logger("mailbox")
 
-Deliver = Callable[[Parcel], None]
+Deliver = Callable[[MessageBatch], None]
 
 # A receiver that is this many parcels behind is as good as gone.
 SEND_BUFFER_PARCELS = 256
@@ -154,7 +154,7 @@
             self._flush_due = True
             self._loop.call_soon(self._flush)
 
-    def forget_idle(self) -> None:
+    def close_idle(self) -> None:
         """Close the sockets of peers not written to, or not reached, for long."""
         now = self._loop.time()
         idle = [name for name, peer in self._peers.items() if not peer.is_of_use(now)]
@@ -186,11 +186,11 @@
     def _send(self, address: str, peer: Peer, now: float) -> None:
         messages, peer.messages = peer.messages, []
         peer.used_at = now
-        parcel = Parcel(
+        batch = MessageBatch(
             address=self.address, incarnation=self.incarnation, messages=messages
         )
         try:
-            peer.socket.send(encode_parcel(parcel), block=False)
+            peer.socket.send(encode_batch(batch), block=False)
         except pynng.NNGException as error:
             # A receiver that is gone or behind takes nothing more.  Its
             # messages are lost, as they would be on a cut connection, and
@@ -217,10 +217,10 @@
         self.counts["parcels_received"] += 1
         self.counts["bytes_received"] += len(data)
         try:
-            parcel = decode_parcel(data)
+            batch = decode_batch(data)
         except MailboxError as error:
             self.counts["unreadable"] += 1
             log.warning("mailbox: {}", error)
             return
-        self.counts["messages_received"] += len(parcel.messages)
-        self._deliver(parcel)
+        self.counts["messages_received"] += len(batch.messages)
+        self._deliver(batch)
--- a/test/agent/fakes.py
+++ b/test/agent/fakes.py
@@ -2,22 +2,22 @@
 
 import asyncio
 
+from eelgrassrack.agent.admission import AgentState
 from eelgrassrack.agent.attempts import Attempts
 from eelgrassrack.agent.core import make_core
 from eelgrassrack.agent.custody import BillKeeper
 from eelgrassrack.agent.entries import Entries
-from eelgrassrack.agent.gate import Standing
 from eelgrassrack.agent.inbox import Inbox
 from eelgrassrack.agent.intake import Intake
 from eelgrassrack.agent.outbox import Outbox
 from eelgrassrack.agent.outcomes import NotConnected, Stopped, Usage, Whole
-from eelgrassrack.agent.pause import PauseWatch
+from eelgrassrack.agent.pause import PauseDetector
 from eelgrassrack.agent.quarantine import Quarantine
 from eelgrassrack.agent.relay import Relay
 from eelgrassrack.agent.replies import Replies
 from eelgrassrack.agent.runner import Runner
 from eelgrassrack.invariants import Invariants
-from eelgrassrack.mailbox.messages import Facts, Parcel, Presence, Start
+from eelgrassrack.mailbox.messages import Facts, MessageBatch, Presence, Start
 from eelgrassrack.metrics import Metrics
 from eelgrassrack.settings import MetricSettings
 
@@ -87,7 +87,7 @@
         self.due = []
         self.engine = FakeEngine()
         self.invariants = Invariants(strict=True)
-        self.standing = Standing(endpoint="x", domain="d", pool="p", incarnation=AGENT)
+        self.state = AgentState(endpoint="x", domain="d", pool="p", incarnation=AGENT)
         self.entries = Entries(name="x")
         self.attempts = Attempts(now=self.now)
         self.build()
@@ -96,19 +96,19 @@
         outbox = Outbox(post=self.post, later=lambda _, call: self.due.append(call))
         metrics = Metrics(settings=MetricSettings())
         relay = Relay(attempts=self.attempts, outbox=outbox, metrics=metrics)
-        self.pause = PauseWatch(
-            standing=self.standing,
+        self.pause = PauseDetector(
+            state=self.state,
             entries=self.entries,
             post=self.post,
             clock=self.clock,
         )
         self.core = make_core(
-            standing=self.standing,
+            state=self.state,
             attempts=self.attempts,
             relay=relay,
             clock=self.clock,
             invariants=self.invariants,
-            notice=self.pause.notice,
+            detect_pause=self.pause.detect_pause,
         )
         self.intake = Intake(core=self.core)
         self.runner = Runner(
@@ -132,7 +132,7 @@
             replies=Replies(
                 attempts=self.attempts,
                 relay=relay,
-                standing=self.standing,
+                state=self.state,
                 clock=self.clock,
             ),
             pause=self.pause,
@@ -146,7 +146,7 @@
 
     def answer(self, revision=1):
         """Return the heartbeat that answers the agent's last question."""
-        return make_presence("e.1.1", revision=revision, answers=self.standing.question)
+        return make_presence("e.1.1", revision=revision, answers=self.state.question)
 
     def post(self, to, message):
         self.sent.append((to, message))
@@ -156,10 +156,10 @@
 
     async def take(self, *messages, sender=ENTRY, incarnation="e.1"):
         """Deliver a parcel and return what the agent says to it."""
-        parcel = Parcel(
+        batch = MessageBatch(
             address=sender, incarnation=incarnation, messages=list(messages)
         )
-        return await self.watch(lambda: self.inbox.deliver(parcel))
+        return await self.watch(lambda: self.inbox.deliver(batch))
 
     async def advance(self, seconds):
         """Let time pass in ticks and return what the agent says."""
--- a/test/agent/test_agent.py
+++ b/test/agent/test_agent.py
@@ -53,7 +53,7 @@
         self.mailbox = Mailbox(
             address=LOOPBACK,
             incarnation=self.incarnation,
-            deliver=lambda parcel: self.messages.extend(parcel.messages),
+            deliver=lambda batch: self.messages.extend(batch.messages),
         )
         self.mailbox.open()
 
--- a/test/agent/test_attempts.py
+++ b/test/agent/test_attempts.py
@@ -55,7 +55,7 @@
     def stop_station(self):
         """End what runs without a new start."""
         station = self.station
-        station.standing.leaving = True
+        station.state.leaving = True
         station.core.slots.stop_all()
         self.call(station.settle())
         self.call(station.core.slots.wait())
@@ -65,7 +65,7 @@
 
     async def make_station(self):
         station = Station()
-        station.standing.incarnation = self.agent
+        station.state.incarnation = self.agent
         station.engine = engine = FakeEngine()
         station.runner._engine = engine
         engine.ran = Watched(self)
@@ -219,7 +219,7 @@
 
     @rule()
     def recover_engine(self):
-        self.station.standing.engine_up = True
+        self.station.state.engine_up = True
         self.note(self.call(self.station.watch(self.station.runner.pump)))
 
     @rule()
--- a/test/agent/test_records.py
+++ b/test/agent/test_records.py
@@ -3,7 +3,7 @@
 import pytest
 
 from eelgrassrack.agent import records
-from eelgrassrack.agent.records import RECALL_SECONDS, Forgotten, Record, Records
+from eelgrassrack.agent.records import RECALL_SECONDS, AttemptRecords, Forgotten, Record
 from eelgrassrack.mailbox.messages import Ended, Finish, NotStarted, Refusal
 
 
@@ -22,7 +22,7 @@
     agent to have forgotten and vow that it never saw the attempt, the
     submission would run again and be counted twice.
     """
-    kept = Records(now=0.0)
+    kept = AttemptRecords(now=0.0)
     kept.add(key="a", word=make_ended("a"), now=0.0)
     kept.expire(now=100 * RECALL_SECONDS)
     assert isinstance(kept.find(key="a"), Forgotten)
@@ -36,7 +36,7 @@
     must still not run.
     """
     monkeypatch.setattr(records, "MAX_RECORDS", 2)
-    kept = Records(now=0.0)
+    kept = AttemptRecords(now=0.0)
     for number in range(5):
         key = f"a{number}"
         kept.add(key=key, word=make_refused(key), now=1.0)
@@ -53,7 +53,7 @@
 def test_full_digests_are_told(monkeypatch, make_word):
     monkeypatch.setattr(records, "MAX_RECORDS", 1)
     monkeypatch.setattr(records, "MAX_DIGESTS", 3)
-    kept = Records(now=0.0)
+    kept = AttemptRecords(now=0.0)
     for number in range(4):
         assert not kept.is_full
         kept.add(key=str(number), word=make_word(str(number)), now=0.0)
--- a/test/entry/test_configuration.py
+++ b/test/entry/test_configuration.py
@@ -159,7 +159,7 @@
             asking = Mailbox(
                 address="tcp://127.0.0.1:0",
                 incarnation="x.1",
-                deliver=lambda parcel: heard.extend(parcel.messages),
+                deliver=lambda batch: heard.extend(batch.messages),
             )
             asking.open()
             world.system.table.outage = True
--- a/test/entry/test_stop.py
+++ b/test/entry/test_stop.py
@@ -98,7 +98,7 @@
     world.wait(lambda: world.standin("tutor-east").started)
     sent = world.ask("waits")
     agent = world.agent("tutor-east")
-    world.wait(lambda: agent._attempts.has_phase(Phase.QUEUED))
+    world.wait(lambda: agent._attempts.find_by_phase(Phase.QUEUED))
     _, stopping = stop(world)
     (answer,) = world.finish(sent)
     world.run(stopping)
--- a/test/mailbox/test_socket.py
+++ b/test/mailbox/test_socket.py
@@ -6,9 +6,9 @@
 import pytest
 
 from eelgrassrack.mailbox import socket
-from eelgrassrack.mailbox.codec import decode_parcel, encode_parcel
+from eelgrassrack.mailbox.codec import decode_batch, encode_batch
 from eelgrassrack.mailbox.errors import MailboxError
-from eelgrassrack.mailbox.messages import Cancel, Parcel, Piece
+from eelgrassrack.mailbox.messages import Cancel, MessageBatch, Piece
 from eelgrassrack.mailbox.socket import Mailbox
 
 ANY_PORT = "tcp://127.0.0.1:0"
@@ -40,7 +40,7 @@
         return messages, received, left.address
 
     messages, received, address = asyncio.run(scenario())
-    assert [parcel.messages for parcel in received] == [messages]
+    assert [batch.messages for batch in received] == [messages]
     assert received[0].incarnation == "left"
     assert received[0].address == address
 
@@ -114,13 +114,13 @@
         left.post(to=address, message=Cancel(attempt="old"))
         for _ in range(10):
             await asyncio.sleep(0.05)
-            left.forget_idle()
+            left.close_idle()
         right = Mailbox(address=address, incarnation="new", deliver=received.append)
         right.open()
         while not received:
             left.post(to=address, message=Cancel(attempt="new"))
             await asyncio.sleep(0.02)
-        left.forget_idle()
+        left.close_idle()
         left.close()
         right.close()
         return received
@@ -130,6 +130,6 @@
 
 
 def test_another_protocol_is_refused():
-    parcel = Parcel(protocol=99, address="tcp://x", incarnation="i", messages=[])
+    batch = MessageBatch(protocol=99, address="tcp://x", incarnation="i", messages=[])
     with pytest.raises(MailboxError):
-        decode_parcel(encode_parcel(parcel))
+        decode_batch(encode_batch(batch))
--- a/test/promises/links.py
+++ b/test/promises/links.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from eelgrassrack.mailbox.codec import decode_parcel, encode_parcel
+from eelgrassrack.mailbox.codec import decode_batch, encode_batch
 from eelgrassrack.mailbox.socket import Mailbox
 
 Matches = Callable[[object], bool]
@@ -66,20 +66,20 @@
         if link is None:
             self._original(mailbox, data)
             return
-        parcel = decode_parcel(data)
-        if parcel.address == link.cut_from:
-            link.lost += len(parcel.messages)
+        batch = decode_batch(data)
+        if batch.address == link.cut_from:
+            link.lost += len(batch.messages)
             return
-        if parcel.address == link.held_from:
+        if batch.address == link.held_from:
             link.held.append((mailbox, data))
             return
-        held, rest = _split(parcel.messages, link.holds)
+        held, rest = _split(batch.messages, link.holds)
         lost, rest = _split(rest, link.loses)
         link.lost += len(lost)
         if held:
-            link.held.append((mailbox, _pack(parcel, held)))
+            link.held.append((mailbox, _pack(batch, held)))
         if rest:
-            self._pass(mailbox, link, _pack(parcel, rest))
+            self._pass(mailbox, link, _pack(batch, rest))
 
     def _pass(self, mailbox, link, data):
         if not link.crosses:
@@ -119,5 +119,5 @@
     return [m for m, is_match in found if is_match], [m for m, no in found if not no]
 
 
-def _pack(parcel, messages):
-    return encode_parcel(msgspec.structs.replace(parcel, messages=messages))
+def _pack(batch, messages):
+    return encode_batch(msgspec.structs.replace(batch, messages=messages))
--- a/test/promises/test_assertions.py
+++ b/test/promises/test_assertions.py
@@ -3,9 +3,9 @@
 import pytest
 
 from eelgrassrack.agent import core
+from eelgrassrack.agent.admission import Admitted
 from eelgrassrack.agent.agent import Agent
 from eelgrassrack.agent.attempts import Attempts
-from eelgrassrack.agent.gate import Open
 from eelgrassrack.agent.runner import Runner
 from eelgrassrack.decisions.coldstart import Window
 from eelgrassrack.decisions.pins import Keep
@@ -26,7 +26,7 @@
 
 
 def withdraw_behind_an_open_gate(world, monkeypatch):
-    monkeypatch.setattr(core, "judge", lambda **asked: Open())
+    monkeypatch.setattr(core, "check_admission", lambda **asked: Admitted())
     fill_engines(world)
     for version in ("tutor/1", "tutor/2"):
         world.wait_in_force(world.withdraw(version))
@@ -34,17 +34,17 @@
 
 
 def take_out_behind_an_open_gate(world, monkeypatch):
-    monkeypatch.setattr(core, "judge", lambda **asked: Open())
+    monkeypatch.setattr(core, "check_admission", lambda **asked: Admitted())
     fill_engines(world)
     world.wait_in_force(world.take_out("east"))
     world.release_engines()
 
 
 def leave_behind_an_open_gate(world, monkeypatch):
-    monkeypatch.setattr(core, "judge", lambda **asked: Open())
+    monkeypatch.setattr(core, "check_admission", lambda **asked: Admitted())
     fill_engines(world)
     world.system.instances.leave("tutor-east")
-    world.wait(world.agent("tutor-east")._core.standing.is_leaving)
+    world.wait(world.agent("tutor-east")._core.state.is_leaving)
     world.release_engines()
 
 
@@ -59,7 +59,7 @@
 def revert_an_agent(world, monkeypatch):
     monkeypatch.setattr(core, "merge_facts", lambda known, offered: offered)
     world.start(plans=[TUTOR_EAST])
-    old = world.agent("tutor-east")._core.standing.facts
+    old = world.agent("tutor-east")._core.state.facts
     world.wait_in_force(world.withdraw("tutor/2"))
 
     async def send_late():
--- a/test/promises/test_at_most_once.py
+++ b/test/promises/test_at_most_once.py
@@ -6,7 +6,7 @@
 import pytest
 from pytest_bdd import scenario, scenarios, then, when
 
-from eelgrassrack.agent.records import Records
+from eelgrassrack.agent.records import AttemptRecords
 from eelgrassrack.mailbox.messages import Start
 from eelgrassrack.store.claims import ClaimAcquired, Claims
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def vows_forgotten(monkeypatch):
-    monkeypatch.setattr(Records, "add", lambda records, **vow: None)
+    monkeypatch.setattr(AttemptRecords, "add", lambda records, **vow: None)
 
 
 @breaks
--- a/test/promises/test_configuration.py
+++ b/test/promises/test_configuration.py
@@ -130,7 +130,7 @@
 def withdraw_late(world):
     agent = world.agent("tutor-east")
     old_copy = world.entry(1)._configuration.build_copy()
-    old_facts = agent._core.standing.facts
+    old_facts = agent._core.state.facts
     world.wait_in_force(world.withdraw("tutor/2"))
 
     # Nothing that would mend a reverted document comes until it is looked at.
@@ -197,7 +197,7 @@
 
 
 def is_withdrawn(world):
-    facts = world.agent("tutor-east")._core.standing.facts
+    facts = world.agent("tutor-east")._core.state.facts
     return "tutor/2" in facts.withdrawn and not any(
         entry.core.snapshot.is_active(version="tutor/2")
         for entry in world.system.entries.values()
--- a/test/promises/test_domain_out.py
+++ b/test/promises/test_domain_out.py
@@ -3,7 +3,7 @@
 import pytest
 from pytest_bdd import parsers, scenario, scenarios, then, when
 
-from eelgrassrack.agent.gate import Standing
+from eelgrassrack.agent.admission import AgentState
 from eelgrassrack.document.snapshot import Snapshot
 
 from .guards import breaks
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def gate_open(monkeypatch):
-    monkeypatch.setattr(Standing, "is_out", lambda standing: False)
+    monkeypatch.setattr(AgentState, "is_out", lambda standing: False)
 
 
 @pytest.fixture
--- a/test/promises/test_leaving.py
+++ b/test/promises/test_leaving.py
@@ -3,7 +3,7 @@
 import pytest
 from pytest_bdd import scenario, scenarios, then, when
 
-from eelgrassrack.agent.gate import Standing
+from eelgrassrack.agent.admission import AgentState
 
 from .guards import breaks
 from .world import check
@@ -16,7 +16,7 @@
 @pytest.fixture
 def gate_open(monkeypatch, world):
     world.knows_leaving = False
-    monkeypatch.setattr(Standing, "is_leaving", lambda standing: False)
+    monkeypatch.setattr(AgentState, "is_leaving", lambda standing: False)
 
 
 @breaks
@@ -74,7 +74,7 @@
     world.run(leave())
     world.wait(lambda: any(each.leaving for each in instances.shown.instances))
     if world.knows_leaving:
-        world.wait(world.agent("tutor-east")._core.standing.is_leaving)
+        world.wait(world.agent("tutor-east")._core.state.is_leaving)
 
 
 @when("an operator drains the engine in the east")
--- a/test/promises/test_not_run.py
+++ b/test/promises/test_not_run.py
@@ -3,7 +3,7 @@
 import pytest
 from pytest_bdd import given, scenario, scenarios, then, when
 
-from eelgrassrack.agent.records import Records
+from eelgrassrack.agent.records import AttemptRecords
 from eelgrassrack.entry import dispatcher
 from eelgrassrack.mailbox.messages import Load, Start
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def vows_forgotten(monkeypatch):
-    monkeypatch.setattr(Records, "add", lambda records, **vow: None)
+    monkeypatch.setattr(AttemptRecords, "add", lambda records, **vow: None)
 
 
 @pytest.fixture
--- a/test/promises/test_withdrawn.py
+++ b/test/promises/test_withdrawn.py
@@ -3,8 +3,8 @@
 import pytest
 from pytest_bdd import parsers, scenario, scenarios, then, when
 
-from eelgrassrack.agent.gate import Standing
-from eelgrassrack.agent.pause import PauseWatch
+from eelgrassrack.agent.admission import AgentState
+from eelgrassrack.agent.pause import PauseDetector
 from eelgrassrack.mailbox.messages import Start
 
 from .guards import breaks
@@ -17,12 +17,12 @@
 
 @pytest.fixture
 def gate_open(monkeypatch):
-    monkeypatch.setattr(Standing, "is_withdrawn", lambda standing, start: False)
+    monkeypatch.setattr(AgentState, "is_withdrawn", lambda standing, start: False)
 
 
 @pytest.fixture
 def pause_unnoticed(monkeypatch):
-    monkeypatch.setattr(PauseWatch, "notice", lambda watch: None)
+    monkeypatch.setattr(PauseDetector, "detect_pause", lambda watch: None)
 
 
 @breaks
@@ -51,7 +51,7 @@
     for number in range(3):
         world.ask(f"waiting {number}", model="tutor/2", entry=number % 2)
     agent = world.agent("tutor-east")
-    world.wait(lambda: len(agent._core.room) == 3)
+    world.wait(lambda: len(agent._core.queue) == 3)
 
 
 @when(parsers.parse("{version} is withdrawn"))
--- a/test/promises/world.py
+++ b/test/promises/world.py
@@ -205,7 +205,7 @@
         """Send questions until one runs and one waits at each agent."""
 
         def is_full(agent):
-            return agent._attempts.running and len(agent._core.room)
+            return agent._attempts.running and len(agent._core.queue)
 
         for number in range(MOST_TO_FILL):
             self.ask(f"filling {number}", entry=number % 2)
