--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -25,7 +25,7 @@
 from .core import Core, make_core
 from .custody import BillKeeper
 from .engine import HttpEngine
-from .entries import Entries
+from .entries import EntryDirectory
 from .health import POLL_SECONDS, Health
 from .heartbeat import Heartbeat
 from .inbox import Inbox
@@ -102,7 +102,7 @@
         self._hurry = asyncio.Event()
         self._metrics = Metrics(settings=settings.metrics, clock=clock)
         self._supervisor = Supervisor(name="agent")
-        self._entries = Entries(name=settings.name)
+        self._entries = EntryDirectory(name=settings.name)
         self._quarantine = Quarantine()
         self._state = AgentState(
             endpoint=settings.name,
@@ -177,7 +177,7 @@
             pause=self._pause,
             quarantine=self._quarantine,
             post=self._post,
-            on_newer=self._heartbeat.send,
+            on_new_revision=self._heartbeat.send,
         )
 
     @property
@@ -197,8 +197,8 @@
         """
         self._mailbox.open()
         await self._poll_health()
-        self._supervisor.start(name="ticks", job=self._keep_ticking)
-        self._supervisor.start(name="health", job=self._keep_polling)
+        self._supervisor.start(name="ticks", job=self._run_ticks)
+        self._supervisor.start(name="health", job=self._run_health_polls)
         self._supervisor.start(name="instances", job=self._follow_instances)
         log.info("agent: {} listens on {}", self.incarnation, self.address)
 
@@ -220,14 +220,14 @@
         # What became whole while bills are settled would add another one.
         self._runner.cut_all("the agent stopped")
         self._outbox.flush()
-        await self._settle_rest()
-        self._report_rest(cut)
+        await self._settle_remaining()
+        self._report_unfinished(cut)
         await self._close()
 
-    async def _settle_rest(self) -> None:
+    async def _settle_remaining(self) -> None:
         """Settle alone the bills that no entry took in the whole grace."""
-        rest = tuple(self._attempts.unsettled.values())
-        if not rest or self._store is None or self._hurry.is_set():
+        remaining = tuple(self._attempts.unsettled.values())
+        if not remaining or self._store is None or self._hurry.is_set():
             return
         settlement = Settlement(
             store=self._store, invariants=self.invariants, price=self._price
@@ -235,7 +235,7 @@
         try:
             async with asyncio.timeout(SETTLE_SECONDS):
                 settled = await settlement.settle(
-                    incarnation=self.incarnation, attempts=rest
+                    incarnation=self.incarnation, attempts=remaining
                 )
         except TimeoutError:
             log.error("agent: the object API is too slow to settle bills")
@@ -289,12 +289,12 @@
 
     async def _is_alive(self, since: float) -> bool:
         alive = await self._health.is_alive(since)
-        self._take_health()
+        self._apply_health()
         if not alive:
             self._heartbeat.send()
         return alive
 
-    async def _keep_ticking(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self._tick()
             await asyncio.sleep(TICK_SECONDS)
@@ -329,7 +329,7 @@
         self._attempts.forget_records()
         log.info("agent: goes on as {}", self._state.incarnation)
 
-    async def _keep_polling(self) -> None:
+    async def _run_health_polls(self) -> None:
         while True:
             await asyncio.sleep(POLL_SECONDS)
             await self._poll_health()
@@ -337,20 +337,20 @@
     async def _poll_health(self) -> None:
         was_up = self._state.engine_up
         await self._health.poll()
-        self._take_health()
+        self._apply_health()
         if self._state.engine_up != was_up:
             self._heartbeat.send()
         self._runner.pump()
 
-    def _take_health(self) -> None:
+    def _apply_health(self) -> None:
         self._state.engine_up = self._health.is_up
         self._core.window.is_growth_paused = self._health.is_cold
 
     async def _follow_instances(self) -> None:
-        await follow_instances(instances=self._instances, take=self._take_listing)
+        await follow_instances(instances=self._instances, take=self._apply_listing)
 
-    def _take_listing(self, instances: tuple[Instance, ...]) -> None:
-        self._entries.take_listing(instances, now=self._clock())
+    def _apply_listing(self, instances: tuple[Instance, ...]) -> None:
+        self._entries.apply_listing(instances, now=self._clock())
         self._state.listed_leaving = any(
             instance.leaving
             for instance in instances
@@ -366,12 +366,12 @@
         done = self._core.is_idle and not self._attempts.unsettled
         return done and waited >= self._settings.lag_seconds
 
-    def _report_rest(self, cut: int) -> None:
+    def _report_unfinished(self, cut: int) -> None:
         unsettled = len(self._attempts.unsettled)
         if cut:
             log.error("agent: {} attempts cut at the stop", cut)
         # A stop that was hurried isn't a planned one any more.
-        kept = self._hurry.is_set() or not cut
-        self.invariants.check(Promise.GRACEFUL_STOP, kept, f"{cut} cut")
+        as_promised = self._hurry.is_set() or not cut
+        self.invariants.check(Promise.GRACEFUL_STOP, as_promised, f"{cut} cut")
         if unsettled:
             log.error("agent: {} bills unsettled at the stop", unsettled)
--- a/eelgrassrack/agent/answers.py
+++ b/eelgrassrack/agent/answers.py
@@ -54,17 +54,17 @@
 class StreamedAnswer:
     """A chat answer as server-sent events."""
 
-    __slots__ = ("_attempt", "_buffer", "_done", "_on_piece", "_open", "_usage")
+    __slots__ = ("_attempt", "_buffer", "_done", "_on_piece", "_unfinished", "_usage")
 
     def __init__(self, *, attempt: str, on_piece: OnPiece) -> None:
         self._attempt = attempt
         self._on_piece = on_piece
         self._buffer = b""
-        self._open: dict[int, bool] = {}
+        self._unfinished: dict[int, bool] = {}
         self._done = False
         self._usage: dict[str, int] | None = None
 
-    def takes(self, status: int) -> bool:
+    def accepts(self, status: int) -> bool:
         """Tell whether an answer of this status is fed."""
         return status < FIRST_ERROR_STATUS
 
@@ -76,7 +76,7 @@
             raise AnswerError("an event is too long")
         for line in lines:
             if line.startswith(b"data:"):
-                self._take(line[5:].strip())
+                self._process_event(line[5:].strip())
 
     def finish(self, unused_headers: object) -> dict[str, int] | None:
         """Return the usage, or raise when the stream isn't whole."""
@@ -84,11 +84,11 @@
             raise AnswerError("the stream ended before [DONE]", cut=True)
         return self._usage
 
-    def _take(self, event: bytes) -> None:
+    def _process_event(self, event: bytes) -> None:
         if self._done:
             raise AnswerError("the stream goes on after [DONE]")
         if event == DONE:
-            self._close()
+            self._finish_stream()
             return
         try:
             chunk = CHUNKS.decode(event)
@@ -102,17 +102,17 @@
         if chunk.usage is not None:
             self._usage = read_usage(chunk.usage)
         for choice in choices:
-            self._open[choice.index] = choice.finish_reason is None
+            self._unfinished[choice.index] = choice.finish_reason is None
         if choices:
             self._on_piece(bytes(chunk.choices))
 
-    def _close(self) -> None:
-        if not self._open or any(self._open.values()):
+    def _finish_stream(self) -> None:
+        if not self._unfinished or any(self._unfinished.values()):
             raise AnswerError("[DONE] without a finish_reason", cut=True)
         self._done = True
 
 
-class WholeChat:
+class JsonChatAnswer:
     """A chat answer as one JSON body."""
 
     __slots__ = ("_attempt", "_body", "_on_piece")
@@ -122,7 +122,7 @@
         self._on_piece = on_piece
         self._body = bytearray()
 
-    def takes(self, status: int) -> bool:
+    def accepts(self, status: int) -> bool:
         """Tell whether an answer of this status is fed."""
         return status < FIRST_ERROR_STATUS
 
@@ -159,7 +159,7 @@
         self._on_piece = on_piece
         self._size = 0
 
-    def takes(self, unused_status: int) -> bool:
+    def accepts(self, unused_status: int) -> bool:
         """Tell that an answer of any status is fed."""
         return True
 
@@ -182,16 +182,16 @@
             raise AnswerError("the body has no length", cut=True)
 
 
-Answer = StreamedAnswer | WholeChat
+ChatAnswer = StreamedAnswer | JsonChatAnswer
 
 
-def make_answer(start: Start, on_piece: OnPiece) -> Answer | PlainAnswer:
+def make_answer(start: Start, on_piece: OnPiece) -> ChatAnswer | PlainAnswer:
     """Return what checks the answer to this attempt."""
     if start.service:
         return PlainAnswer(on_piece=on_piece)
     if start.stream:
         return StreamedAnswer(attempt=start.attempt, on_piece=on_piece)
-    return WholeChat(attempt=start.attempt, on_piece=on_piece)
+    return JsonChatAnswer(attempt=start.attempt, on_piece=on_piece)
 
 
 def read_usage(usage: dict[str, msgspec.Raw]) -> dict[str, int]:
--- a/eelgrassrack/agent/attemptqueue.py
+++ b/eelgrassrack/agent/attemptqueue.py
@@ -19,7 +19,7 @@
 MAX_BYTES = 16_000_000
 
 # Organisations named in a load report, which goes out each second.
-MOST_REPORTED = 8
+MAX_REPORTED_ORGANISATIONS = 8
 
 
 class AttemptQueue:
@@ -27,28 +27,28 @@
 
     __slots__ = (
         "_attempts",
-        "_bookings",
+        "_retries",
         "_bytes",
-        "_own",
-        "_patient",
+        "_tokens_by",
+        "_patient_tokens_by",
         "_queue",
         "drain",
-        "held",
+        "deferred",
     )
 
     def __init__(self) -> None:
         self.drain = DrainRate()
-        self.held: dict[str, Attempt] = {}
+        self.deferred: dict[str, Attempt] = {}
         self._queue = FairQueue()
         self._attempts: dict[str, Attempt] = {}
-        self._bookings = RetrySchedule()
+        self._retries = RetrySchedule()
         self._bytes = 0
-        self._own: collections.Counter[str] = collections.Counter()
-        self._patient: collections.Counter[str] = collections.Counter()
+        self._tokens_by: collections.Counter[str] = collections.Counter()
+        self._patient_tokens_by: collections.Counter[str] = collections.Counter()
 
     def __len__(self) -> int:
         """Return how many wait for their turn or for facts."""
-        return len(self._attempts) + len(self.held)
+        return len(self._attempts) + len(self.deferred)
 
     @property
     def tokens(self) -> int:
@@ -62,21 +62,25 @@
 
     def find_largest(self) -> dict[str, int]:
         """Return the organisations with most tokens waiting, with these."""
-        return dict(self._own.most_common(MOST_REPORTED))
+        return dict(self._tokens_by.most_common(MAX_REPORTED_ORGANISATIONS))
 
     def find_patient(self) -> dict[str, int]:
         """Return of these organisations the tokens of patient requests."""
         largest = self.find_largest()
-        return {name: self._patient[name] for name in largest if self._patient[name]}
+        return {
+            name: self._patient_tokens_by[name]
+            for name in largest
+            if self._patient_tokens_by[name]
+        }
 
     def estimate_wait(
         self, attempt: Attempt, *, weights: dict[str, float], window: int
     ) -> float:
         """Return the seconds that an attempt is expected to wait."""
         start = attempt.start
-        waiting = {*self._own, start.organisation}
-        own = self._own[start.organisation]
-        patient = self._patient[start.organisation]
+        waiting = {*self._tokens_by, start.organisation}
+        own = self._tokens_by[start.organisation]
+        patient = self._patient_tokens_by[start.organisation]
         alike = patient if _is_patient(attempt) else own - patient
         backlog = Backlog(
             tokens=self.tokens,
@@ -90,7 +94,7 @@
         weight = weights.get(start.organisation, 1.0)
         return estimate_wait(arrival=arrival, weight=weight, backlog=backlog)
 
-    def find_retry(self, *, tokens: int, window: int, now: float) -> float:
+    def estimate_retry_after(self, *, tokens: int, window: int, now: float) -> float:
         """Return when a refused caller should come back.
 
         Each refusal books the next stretch of the drain, so that those
@@ -99,7 +103,7 @@
         rate = self.drain.find_rate(window=window)
         if not rate:
             return find_retry_after(0.0)
-        ahead = self._bookings.reserve(amount=tokens, rate=rate, now=now)
+        ahead = self._retries.reserve(amount=tokens, rate=rate, now=now)
         return find_retry_after(self.tokens / rate + ahead)
 
     def add(self, attempt: Attempt, *, weight: float) -> None:
@@ -128,7 +132,7 @@
 
     def discard(self, attempt: Attempt) -> None:
         """Take out an attempt, wherever it waits."""
-        self.held.pop(attempt.key, None)
+        self.deferred.pop(attempt.key, None)
         if self._queue.discard(key=attempt.key) is not None:
             self._forget(attempt.key)
 
@@ -141,10 +145,10 @@
         waiting = self._queue.find_displaced(limit=-1)
         return None if waiting is None else self._attempts[waiting.key]
 
-    def release_held(self) -> list[Attempt]:
+    def pop_deferred(self) -> list[Attempt]:
         """Take out and return all that wait for facts."""
-        held, self.held = self.held, {}
-        return list(held.values())
+        deferred, self.deferred = self.deferred, {}
+        return list(deferred.values())
 
     def _forget(self, key: str) -> Attempt:
         attempt = self._attempts.pop(key)
@@ -154,12 +158,12 @@
     def _count(self, attempt: Attempt, sign: int) -> None:
         start = attempt.start
         self._bytes += sign * len(start.body)
-        self._own[start.organisation] += sign * start.tokens
+        self._tokens_by[start.organisation] += sign * start.tokens
         if _is_patient(attempt):
-            self._patient[start.organisation] += sign * start.tokens
-        if self._own[start.organisation] <= 0:
-            del self._own[start.organisation]
-            self._patient.pop(start.organisation, None)
+            self._patient_tokens_by[start.organisation] += sign * start.tokens
+        if self._tokens_by[start.organisation] <= 0:
+            del self._tokens_by[start.organisation]
+            self._patient_tokens_by.pop(start.organisation, None)
 
 
 def _is_patient(attempt: Attempt) -> bool:
--- a/eelgrassrack/agent/attempts.py
+++ b/eelgrassrack/agent/attempts.py
@@ -8,21 +8,21 @@
 import enum
 
 from ..mailbox.messages import Ended, NotStarted, Refusal, Start
-from .records import AttemptRecords, Forgotten, Record
+from .records import AttemptRecord, AttemptRecords, ExpiredRecord
 
 # Bytes of answers kept for entries that may ask for them again.
 MAX_KEPT_BYTES = 8_000_000
 
 # An answer that wasn't whole is kept as long as an entry may need to notice
 # that a parcel was lost.
-KEPT_SECONDS = 30.0
+FAILED_RETENTION_SECONDS = 30.0
 
 # A whole answer is kept for so long after its end at least, though its bill
 # may be settled sooner.  The entry settles the bill of an answer of which it
 # still lacks pieces; forgotten at once, these could never be sent again, and
 # the caller would wait until its deadline for an answer that was there.
 # Entries ask for missing pieces four times a second.
-SETTLED_SECONDS = 5.0
+BILLED_RETENTION_SECONDS = 5.0
 
 # What may not be repeated runs on for so long after its caller's deadline.
 OVERTIME_SECONDS = 120.0
@@ -56,10 +56,10 @@
     ledger: str
     arrived: float
     deadline: float
-    held_until: float = 0.0
+    deferred_until: float = 0.0
     phase: Phase = Phase.QUEUED
     began: float = 0.0
-    heard: float = 0.0
+    last_piece_at: float = 0.0
     ended_at: float = 0.0
     pieces: list[bytes] = dataclasses.field(default_factory=list)
     size: int = 0
@@ -67,7 +67,7 @@
     settled: bool = True
     is_suspected: bool = False
     holders: tuple[str, ...] = ()
-    handed_at: float = 0.0
+    bill_sent_at: float = 0.0
 
     @property
     def key(self) -> str:
@@ -75,7 +75,7 @@
         return self.start.attempt
 
     @property
-    def ends_by(self) -> float:
+    def cut_at(self) -> float:
         """Return when a running attempt is cut at the latest.
 
         Cutting one that may not be repeated at its caller's deadline would
@@ -87,7 +87,7 @@
     def may_be_forgotten(self, now: float) -> bool:
         """Tell whether no entry can lack a piece of this ended attempt."""
         is_billed = self.ended.bill is not None
-        kept = SETTLED_SECONDS if is_billed else KEPT_SECONDS
+        kept = BILLED_RETENTION_SECONDS if is_billed else FAILED_RETENTION_SECONDS
         return now - self.ended_at > kept
 
 
@@ -108,7 +108,7 @@
         """Tell whether nothing more can be remembered."""
         return self._records.is_full
 
-    def find(self, *, key: str) -> Attempt | Record | Forgotten | None:
+    def find(self, *, key: str) -> Attempt | AttemptRecord | ExpiredRecord | None:
         """Return what is known of an attempt."""
         return self.live.get(key) or self._records.find(key=key)
 
@@ -123,15 +123,15 @@
         self.live[attempt.key] = attempt
         return True
 
-    def bury(self, *, key: str, refusal: Refusal, now: float) -> NotStarted:
+    def add_tombstone(self, *, key: str, refusal: Refusal, now: float) -> NotStarted:
         """Vow that an attempt never starts, and return what to say of it.
 
         The attempt must be queued or unknown.
         """
         self.live.pop(key, None)
-        word = NotStarted(attempt=key, refusal=refusal)
-        self._records.add(key=key, word=word, now=now)
-        return word
+        message = NotStarted(attempt=key, refusal=refusal)
+        self._records.add(key=key, message=message, now=now)
+        return message
 
     def begin(self, attempt: Attempt, *, now: float) -> bool:
         """Mark an attempt as running; return false unless it was queued."""
@@ -140,10 +140,10 @@
             return False
         attempt.phase = Phase.RUNNING
         self.running[attempt.key] = attempt
-        attempt.began = attempt.heard = now
+        attempt.began = attempt.last_piece_at = now
         return True
 
-    def keep(self, attempt: Attempt, piece: bytes) -> int:
+    def keep_piece(self, attempt: Attempt, piece: bytes) -> int:
         """Keep a piece and return its number."""
         attempt.pieces.append(piece)
         attempt.size += len(piece)
@@ -159,7 +159,7 @@
         attempt.settled = ended.bill is None
         if ended.bill is not None:
             self.unsettled[attempt.key] = attempt
-        self._trim()
+        self._evict_pieces()
 
     def settle(self, *, key: str, now: float) -> None:
         """Note that the bill of an answer is in the ledger."""
@@ -189,7 +189,7 @@
     def _forget(self, attempt: Attempt, now: float) -> None:
         del self.live[attempt.key]
         self._drop_pieces(attempt)
-        word = Ended(
+        message = Ended(
             attempt=attempt.key,
             finish=attempt.ended.finish,
             pieces=attempt.ended.pieces,
@@ -197,14 +197,14 @@
             status=attempt.ended.status,
             reason=attempt.ended.reason,
         )
-        self._records.add(key=attempt.key, word=word, now=now)
+        self._records.add(key=attempt.key, message=message, now=now)
 
     def _drop_pieces(self, attempt: Attempt) -> None:
         self._kept_bytes -= attempt.size
         attempt.size = 0
         attempt.pieces.clear()
 
-    def _trim(self) -> None:
+    def _evict_pieces(self) -> None:
         """Drop the pieces of the oldest ended answers when there are too many.
 
         Their bills stay.  An entry that still lacks a piece and asks for it
--- a/eelgrassrack/agent/bills.py
+++ b/eelgrassrack/agent/bills.py
@@ -5,7 +5,7 @@
 from .outcomes import Usage
 
 
-def bill_whole(attempt: Attempt, usage: Usage | None) -> Bill:
+def bill_completed(attempt: Attempt, usage: Usage | None) -> Bill:
     """Return the bill of a whole answer.
 
     An engine that doesn't tell what it used is billed for the pieces of a
--- a/eelgrassrack/agent/core.py
+++ b/eelgrassrack/agent/core.py
@@ -60,12 +60,12 @@
             self.parked = None
         self.slots.stop(attempt)
         now = self.clock()
-        retry_after = self.queue.find_retry(
+        retry_after = self.queue.estimate_retry_after(
             tokens=attempt.start.tokens, window=self.window.size, now=now
         )
         self.relay.refuse(attempt, refusal, retry_after=retry_after, now=now)
 
-    def take_facts(self, facts: Facts) -> bool:
+    def apply_facts(self, facts: Facts) -> bool:
         """Take over facts; return whether they are newer than those in force."""
         known = self.state.facts
         merged = merge_facts(known, facts)
@@ -78,7 +78,7 @@
         self.window.resize(floor=merged.cold_concurrency, ceiling=merged.concurrency)
         return known is None or merged.revision > known.revision
 
-    def keep_facts(self, *, revision: int, since: int) -> bool:
+    def confirm_facts(self, *, revision: int, since: int) -> bool:
         """Take it that the facts hold up to a revision.
 
         Return false if the facts known here are older than `since`: then
@@ -88,7 +88,7 @@
         if facts is None or facts.revision < since:
             return False
         if revision > facts.revision:
-            self.take_facts(msgspec.structs.replace(facts, revision=revision))
+            self.apply_facts(msgspec.structs.replace(facts, revision=revision))
         return True
 
     def collapse(self, reason: CollapseReason) -> None:
--- a/eelgrassrack/agent/crashes.py
+++ b/eelgrassrack/agent/crashes.py
@@ -19,7 +19,7 @@
 IsAlive = Callable[[float], Awaitable[bool]]
 
 
-class CrashWatch:
+class CrashDetector:
     """Probe the endpoint after a break, once for all that broke with it."""
 
     __slots__ = (
@@ -59,14 +59,16 @@
                 if not each.is_suspected
             ]
             loop = asyncio.get_running_loop()
-            self._probe = loop.create_task(self._look(attempt.began, suspects))
+            self._probe = loop.create_task(
+                self._probe_endpoint(attempt.began, suspects)
+            )
         probe = self._probe
         crashed = await asyncio.shield(probe)
         if self._probe is probe:
             self._probe = None
         return crashed
 
-    async def _look(self, since: float, suspects: list[Attempt]) -> bool:
+    async def _probe_endpoint(self, since: float, suspects: list[Attempt]) -> bool:
         if await self._is_alive(since):
             return False
         self._on_crash()
--- a/eelgrassrack/agent/digests.py
+++ b/eelgrassrack/agent/digests.py
@@ -24,8 +24,8 @@
     def __contains__(self, name: str) -> bool:
         """Tell whether a name is held."""
         digest = digest_name(name)
-        place = bisect.bisect_left(self._sorted, digest)
-        return place < len(self._sorted) and self._sorted[place] == digest
+        index = bisect.bisect_left(self._sorted, digest)
+        return index < len(self._sorted) and self._sorted[index] == digest
 
     def add(self, name: str) -> None:
         """Hold a name."""
--- a/eelgrassrack/agent/drainrate.py
+++ b/eelgrassrack/agent/drainrate.py
@@ -6,15 +6,15 @@
 """
 
 # Weight of one more answer; the average spans about the last ten.
-SHARE = 0.2
+AVERAGE_WEIGHT = 0.2
 
 # Without a floor an answer of no measurable duration gives a speed without
 # bound.
-SHORTEST = 0.001
+MIN_ANSWER_SECONDS = 0.001
 
 # A caller that is told to come back at once only adds to the overload.
-LEAST_RETRY = 0.2
-LONGEST_RETRY = 60.0
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 60.0
 
 
 class DrainRate:
@@ -27,8 +27,8 @@
 
     def observe(self, *, tokens: int, seconds: float) -> None:
         """Take one whole answer into the average."""
-        speed = tokens / max(seconds, SHORTEST)
-        self.speed += SHARE * (speed - self.speed) if self.speed else speed
+        speed = tokens / max(seconds, MIN_ANSWER_SECONDS)
+        self.speed += AVERAGE_WEIGHT * (speed - self.speed) if self.speed else speed
 
     def find_rate(self, *, window: int) -> float:
         """Return the tokens a second of all slots, zero when not known."""
@@ -37,4 +37,4 @@
 
 def find_retry_after(wait: float) -> float:
     """Return when a refused caller should come back."""
-    return min(max(wait, LEAST_RETRY), LONGEST_RETRY)
+    return min(max(wait, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
--- a/eelgrassrack/agent/engine.py
+++ b/eelgrassrack/agent/engine.py
@@ -31,7 +31,7 @@
         *,
         start: Start,
         exchange: Exchange,
-        within: float,
+        timeout: float,
         on_begun: Callable[[], bool],
         on_piece: Callable[[bytes], None],
     ) -> Outcome:
@@ -60,7 +60,7 @@
         *,
         start: Start,
         exchange: Exchange,
-        within: float,
+        timeout: float,
         on_begun: Callable[[], bool],
         on_piece: Callable[[bytes], None],
     ) -> Outcome:
@@ -77,7 +77,7 @@
             follow_redirects=False,
             decompress_response=False,
             connect_timeout=CONNECT_SECONDS,
-            request_timeout=within + CURL_EXTRA_SECONDS,
+            request_timeout=timeout + CURL_EXTRA_SECONDS,
             prepare_curl_callback=transfer.prepare,
         )
         try:
--- a/eelgrassrack/agent/health.py
+++ b/eelgrassrack/agent/health.py
@@ -24,14 +24,14 @@
 MAX_CLIENTS = 4
 
 
-class Report(msgspec.Struct, kw_only=True):
+class HealthReport(msgspec.Struct, kw_only=True):
     """What an engine says of itself; a plain service may say nothing."""
 
     incarnation: str = ""
     cold: bool = False
 
 
-class Down(msgspec.Struct, kw_only=True, frozen=True):
+class EndpointDown(msgspec.Struct, kw_only=True, frozen=True):
     """The endpoint didn't answer, or only to say that it is down."""
 
 
@@ -71,19 +71,19 @@
 
     async def poll(self) -> None:
         """Ask the endpoint and note what changed."""
-        self.note(await self._ask())
+        self.note(await self._fetch_report())
 
     async def is_alive(self, since: float) -> bool:
         """Tell whether the endpoint is up and hasn't restarted since then."""
         await self.poll()
         return self.is_up and self.restarted_at < since
 
-    def note(self, report: Report | Down) -> None:
+    def note(self, report: HealthReport | EndpointDown) -> None:
         """Take over a report and collapse the window where it must."""
         match report:
-            case Down():
+            case EndpointDown():
                 self._note_down()
-            case Report():
+            case HealthReport():
                 self._note_up(report)
 
     def _note_down(self) -> None:
@@ -91,7 +91,7 @@
             log.warning("health: endpoint is down")
         self.is_up = False
 
-    def _note_up(self, report: Report) -> None:
+    def _note_up(self, report: HealthReport) -> None:
         was_up, self.is_up = self.is_up, True
         # An engine under full load may answer a poll too late and is no other
         # for that.  Closing its window then would cost what it bears, so one
@@ -109,7 +109,7 @@
             log.warning("health: endpoint reports a cold start")
             self._on_collapse(CollapseReason.REPORTED_COLD)
 
-    async def _ask(self) -> Report | Down:
+    async def _fetch_report(self) -> HealthReport | EndpointDown:
         request = HTTPRequest(
             url=self._url,
             follow_redirects=False,
@@ -120,15 +120,15 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except CurlError:
-            return Down()
+            return EndpointDown()
         if response.code >= FIRST_DOWN_STATUS:
-            return Down()
+            return EndpointDown()
         try:
-            return msgspec.json.decode(response.body, type=Report)
+            return msgspec.json.decode(response.body, type=HealthReport)
         except msgspec.MsgspecError:
             # A plain service need not know this path; it answered, so it
             # is up.
-            return Report()
+            return HealthReport()
 
 
 def connect_directly(curl) -> None:
--- a/eelgrassrack/agent/heartbeat.py
+++ b/eelgrassrack/agent/heartbeat.py
@@ -5,11 +5,11 @@
 from ..mailbox.messages import AnyMessage
 from ..metrics import AGENT_REVISION, QUEUED, RUNNING, WINDOW, Metrics
 from .core import Core
-from .entries import Entries
+from .entries import EntryDirectory
 from .outbox import Post
 
 # An entry takes three missed beats for a sign that the agent is gone.
-BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 1.0
 
 
 class Heartbeat:
@@ -18,7 +18,7 @@
     __slots__ = ("_core", "_entries", "_metrics", "_post", "_sent_at")
 
     def __init__(
-        self, *, core: Core, entries: Entries, post: Post, metrics: Metrics
+        self, *, core: Core, entries: EntryDirectory, post: Post, metrics: Metrics
     ) -> None:
         self._core = core
         self._entries = entries
@@ -28,7 +28,7 @@
 
     def tick(self) -> None:
         """Send the report if it is due."""
-        if self._core.clock() - self._sent_at >= BEAT_SECONDS:
+        if self._core.clock() - self._sent_at >= HEARTBEAT_SECONDS:
             self.send()
 
     def send(self) -> None:
@@ -38,7 +38,7 @@
         load = self._core.make_load()
         live = self._core.attempts.live.values()
         served = itertools.chain.from_iterable(attempt.readers for attempt in live)
-        for address in self._entries.find_listeners(served=served, now=now):
+        for address in self._entries.find_heartbeat_receivers(served=served, now=now):
             self._post(address, load)
         self._metrics.gauge(WINDOW, load.window)
         self._metrics.gauge(RUNNING, load.running)
--- a/eelgrassrack/agent/inbox.py
+++ b/eelgrassrack/agent/inbox.py
@@ -17,7 +17,7 @@
     Start,
 )
 from .core import Core
-from .entries import Entries
+from .entries import EntryDirectory
 from .intake import Intake
 from .outbox import Post
 from .pause import PauseDetector
@@ -33,7 +33,7 @@
         "_core",
         "_entries",
         "_intake",
-        "_on_newer",
+        "_on_new_revision",
         "_pause",
         "_post",
         "_quarantine",
@@ -45,16 +45,16 @@
         self,
         *,
         core: Core,
-        entries: Entries,
+        entries: EntryDirectory,
         intake: Intake,
         runner: Runner,
         replies: Replies,
         pause: PauseDetector,
         quarantine: Quarantine,
         post: Post,
-        on_newer: Callable[[], None],
+        on_new_revision: Callable[[], None],
     ) -> None:
-        """Call `on_newer` when a newer revision is in force."""
+        """Call `on_new_revision` when a newer revision is in force."""
         self._core = core
         self._entries = entries
         self._intake = intake
@@ -63,26 +63,28 @@
         self._pause = pause
         self._quarantine = quarantine
         self._post = post
-        self._on_newer = on_newer
+        self._on_new_revision = on_new_revision
 
     def deliver(self, batch: MessageBatch) -> None:
         """Take what an entry sent."""
         self._pause.detect_pause()
-        self._entries.hear(
+        self._entries.note_message(
             address=batch.address,
             incarnation=batch.incarnation,
             now=self._core.clock(),
         )
         for message in batch.messages:
-            self._take(message, batch)
+            self._dispatch(message, batch)
         self._runner.pump()
 
-    def _take(self, message: AnyMessage, batch: MessageBatch) -> None:
+    def _dispatch(self, message: AnyMessage, batch: MessageBatch) -> None:
         sender = batch.address
         match message:
             case Start():
                 incarnation = batch.incarnation
-                self._intake.take(start=message, sender=sender, incarnation=incarnation)
+                self._intake.receive(
+                    start=message, sender=sender, incarnation=incarnation
+                )
             case Cancel():
                 self._runner.cancel(message, sender)
             case Ask():
@@ -92,41 +94,41 @@
             case Settle():
                 self._replies.settle(message)
             case Facts():
-                self._take_facts(message)
+                self._apply_facts(message)
             case FactsKept():
-                self._keep_facts(message, sender)
+                self._confirm_facts(message, sender)
             case Presence():
-                self._take_presence(message, sender)
+                self._apply_presence(message, sender)
             case Quarantined(fingerprints=fingerprints):
                 self._add_quarantined(fingerprints)
             case Hello():
                 self._post(sender, self._core.make_load())
 
-    def _take_facts(self, facts: Facts) -> None:
+    def _apply_facts(self, facts: Facts) -> None:
         self._add_quarantined(facts.quarantined)
-        newer = self._core.take_facts(facts)
-        self._release()
+        newer = self._core.apply_facts(facts)
+        self._release_deferred()
         if newer:
             self._intake.refuse_waiting()
-            self._on_newer()
+            self._on_new_revision()
 
-    def _keep_facts(self, kept: FactsKept, sender: str) -> None:
-        if not self._core.keep_facts(revision=kept.revision, since=kept.since):
+    def _confirm_facts(self, kept: FactsKept, sender: str) -> None:
+        if not self._core.confirm_facts(revision=kept.revision, since=kept.since):
             self._post(sender, Hello())
             return
-        self._release()
+        self._release_deferred()
 
-    def _release(self) -> None:
+    def _release_deferred(self) -> None:
         """Judge again what waits for facts, unless those known are in doubt."""
         if self._core.state.confirmed:
-            self._intake.release()
+            self._intake.release_deferred()
 
-    def _take_presence(self, presence: Presence, sender: str) -> None:
+    def _apply_presence(self, presence: Presence, sender: str) -> None:
         self._entries.note_presence(
             address=sender, ledger=presence.ledger, leaving=presence.leaving
         )
         if self._pause.confirm(revision=presence.revision, answers=presence.answers):
-            self._intake.release()
+            self._intake.release_deferred()
             self._intake.refuse_waiting()
 
     def _add_quarantined(self, fingerprints: tuple[str, ...]) -> None:
--- a/eelgrassrack/agent/intake.py
+++ b/eelgrassrack/agent/intake.py
@@ -4,12 +4,12 @@
 from .admission import Admitted, Deferred, Refused
 from .attempts import Attempt, Phase
 from .core import Core
-from .records import Forgotten, Record
+from .records import AttemptRecord, ExpiredRecord
 
 # How long an attempt waits for facts that it is newer than.  An entry
 # answers within a few milliseconds; after this the caller is better served
 # by another endpoint.
-HOLD_SECONDS = 1.0
+DEFER_SECONDS = 1.0
 
 # Bills that no entry has settled.  A bill is never dropped: at the bound the
 # agent takes no more work until some are settled.
@@ -24,18 +24,18 @@
     def __init__(self, *, core: Core) -> None:
         self._core = core
 
-    def take(self, *, start: Start, sender: str, incarnation: str) -> None:
+    def receive(self, *, start: Start, sender: str, incarnation: str) -> None:
         """Take in a start; `incarnation` is the sender's."""
         core = self._core
         match core.attempts.find(key=start.attempt):
-            case Record(word=NotStarted() as word):
-                core.relay.say(sender, word)
+            case AttemptRecord(message=NotStarted() as message):
+                core.relay.send(sender, message)
                 return
-            case Record() | Forgotten() | Attempt():
+            case AttemptRecord() | ExpiredRecord() | Attempt():
                 return
         refusal = self._find_refusal(start)
         if refusal is not None:
-            core.relay.say(sender, NotStarted(attempt=start.attempt, refusal=refusal))
+            core.relay.send(sender, NotStarted(attempt=start.attempt, refusal=refusal))
             return
         now = core.clock()
         attempt = Attempt(
@@ -50,9 +50,9 @@
         if core.attempts.add(attempt):
             self._admit(attempt)
 
-    def release(self) -> None:
+    def release_deferred(self) -> None:
         """Judge those that wait for facts again."""
-        for attempt in self._core.queue.release_held():
+        for attempt in self._core.queue.pop_deferred():
             self._admit(attempt)
 
     def refuse_waiting(self) -> None:
@@ -71,8 +71,8 @@
         now = core.clock()
         for attempt in core.queue.expire(now=now):
             core.refuse(attempt, Refusal.DEADLINE)
-        for attempt in list(core.queue.held.values()):
-            if now >= min(attempt.held_until, attempt.deadline):
+        for attempt in list(core.queue.deferred.values()):
+            if now >= min(attempt.deferred_until, attempt.deadline):
                 late = now >= attempt.deadline
                 core.refuse(attempt, Refusal.DEADLINE if late else Refusal.STALE)
         if core.parked is not None and now >= core.parked.deadline:
@@ -85,7 +85,7 @@
                 case Refused(refusal=refusal):
                     self._core.refuse(attempt, refusal)
                 case Deferred():
-                    self._hold(attempt)
+                    self._defer(attempt)
                 case Admitted():
                     return attempt
         return None
@@ -105,21 +105,21 @@
             case Refused(refusal=refusal):
                 self._core.refuse(attempt, refusal)
             case Deferred():
-                self._hold(attempt)
+                self._defer(attempt)
             case Admitted():
                 self._enqueue(attempt)
 
-    def _hold(self, attempt: Attempt) -> None:
+    def _defer(self, attempt: Attempt) -> None:
         """Keep an attempt until newer facts come, and ask for them."""
         core = self._core
         now = core.clock()
-        if not attempt.held_until:
-            attempt.held_until = now + HOLD_SECONDS
-        if now >= attempt.held_until:
+        if not attempt.deferred_until:
+            attempt.deferred_until = now + DEFER_SECONDS
+        if now >= attempt.deferred_until:
             core.refuse(attempt, Refusal.STALE)
             return
-        core.queue.held[attempt.key] = attempt
-        core.relay.say(attempt.owner, Hello(question=core.state.question))
+        core.queue.deferred[attempt.key] = attempt
+        core.relay.send(attempt.owner, Hello(question=core.state.question))
         if core.queue.is_full:
             core.refuse(attempt, Refusal.FULL)
 
--- a/eelgrassrack/agent/outbox.py
+++ b/eelgrassrack/agent/outbox.py
@@ -21,22 +21,22 @@
 # The mailbox puts all that is posted in one tick into one parcel and loses a
 # parcel that is too large.  Bodies of plain services would get there, so no
 # more than this is posted in a tick.
-TICK_BYTES = 1_000_000
+MAX_TICK_BYTES = 1_000_000
 
 
 class Outbox:
     """Post messages in order, a little later and together."""
 
-    __slots__ = ("_due", "_later", "_post", "_posted_bytes", "_waiting")
+    __slots__ = ("_due", "_schedule", "_post", "_posted_bytes", "_waiting")
 
     def __init__(
         self,
         *,
         post: Post,
-        later: Callable[[float, Callable[[], None]], object] | None = None,
+        schedule: Callable[[float, Callable[[], None]], object] | None = None,
     ) -> None:
         self._post = post
-        self._later = later or call_later
+        self._schedule = schedule or call_later
         self._waiting: collections.deque[tuple[str, AnyMessage]] = collections.deque()
         self._due = False
         self._posted_bytes = 0
@@ -46,11 +46,11 @@
         self._waiting.append((to, message))
         if not self._due:
             self._due = True
-            self._later(GATHER_SECONDS, self._flush_due)
+            self._schedule(GATHER_SECONDS, self._flush_due)
 
     def flush(self) -> None:
         """Post what waits, up to what one tick may carry."""
-        while self._waiting and self._posted_bytes < TICK_BYTES:
+        while self._waiting and self._posted_bytes < MAX_TICK_BYTES:
             to, message = self._waiting.popleft()
             self._post(to, message)
             if isinstance(message, Piece):
@@ -62,7 +62,7 @@
 
     def _count(self, size: int) -> None:
         if not self._posted_bytes:
-            self._later(0.0, self._begin_tick)
+            self._schedule(0.0, self._begin_tick)
         self._posted_bytes += size
 
     def _begin_tick(self) -> None:
--- a/eelgrassrack/agent/outcomes.py
+++ b/eelgrassrack/agent/outcomes.py
@@ -16,7 +16,7 @@
     completion_tokens: int = 0
 
 
-class Whole(msgspec.Struct, kw_only=True, frozen=True):
+class Completed(msgspec.Struct, kw_only=True, frozen=True):
     """The answer came whole."""
 
     status: int
@@ -24,7 +24,7 @@
     usage: Usage | None = None
 
 
-class Bad(msgspec.Struct, kw_only=True, frozen=True):
+class AnswerFailed(msgspec.Struct, kw_only=True, frozen=True):
     """The endpoint answered, but not with a whole answer to this request."""
 
     reason: str
@@ -32,7 +32,7 @@
     cut: bool = False
 
 
-class Broken(msgspec.Struct, kw_only=True, frozen=True):
+class ConnectionBroken(msgspec.Struct, kw_only=True, frozen=True):
     """The connection broke after the request may have been sent."""
 
     reason: str
@@ -48,4 +48,4 @@
     """The agent itself ended the exchange."""
 
 
-Outcome = Whole | Bad | Broken | NotConnected | Stopped
+Outcome = Completed | AnswerFailed | ConnectionBroken | NotConnected | Stopped
--- a/eelgrassrack/agent/pause.py
+++ b/eelgrassrack/agent/pause.py
@@ -17,14 +17,14 @@
 
 from ..mailbox.messages import Hello
 from .admission import AgentState
-from .entries import Entries
+from .entries import EntryDirectory
 from .outbox import Post
 
 log = logbook.Logger("pause")
 
 # Ticks come four times a second; a busy loop is late by far less than this,
 # and a withdrawal has to be in force within two seconds.
-LONGEST_GAP = 2.0
+MAX_GAP_SECONDS = 2.0
 
 ASK_AGAIN_SECONDS = 1.0
 
@@ -47,7 +47,7 @@
         self,
         *,
         state: AgentState,
-        entries: Entries,
+        entries: EntryDirectory,
         post: Post,
         clock: Callable[[], float],
     ) -> None:
@@ -62,7 +62,7 @@
         """Look for a gap; called before anything is decided."""
         now = self._clock()
         gap = now - self._ticked_at
-        if gap <= LONGEST_GAP:
+        if gap <= MAX_GAP_SECONDS:
             return
         log.warning("pause: this process stood still for {:.1f} s", gap)
         self._ticked_at = now
--- a/eelgrassrack/agent/quarantine.py
+++ b/eelgrassrack/agent/quarantine.py
@@ -9,32 +9,34 @@
 
 # Longer than any gap between two tellings, and short enough that an
 # operator who released a request needn't restart agents.
-KEEP_SECONDS = 900.0
+FINGERPRINT_TTL_SECONDS = 900.0
 MAX_FINGERPRINTS = 10_000
 
 
 class Quarantine:
     """Quarantined fingerprints with the time until which each counts."""
 
-    __slots__ = ("_until", "fingerprints")
+    __slots__ = ("_expires_at", "fingerprints")
 
     def __init__(self) -> None:
-        self._until: dict[str, float] = {}
+        self._expires_at: dict[str, float] = {}
         self.fingerprints: frozenset[str] = frozenset()
 
     def add(self, fingerprints: Iterable[str], *, now: float) -> None:
         """Take over fingerprints that an entry told."""
         for fingerprint in fingerprints:
-            self._until.pop(fingerprint, None)
-            self._until[fingerprint] = now + KEEP_SECONDS
-        while len(self._until) > MAX_FINGERPRINTS:
-            del self._until[next(iter(self._until))]
-        self.fingerprints = frozenset(self._until)
+            self._expires_at.pop(fingerprint, None)
+            self._expires_at[fingerprint] = now + FINGERPRINT_TTL_SECONDS
+        while len(self._expires_at) > MAX_FINGERPRINTS:
+            del self._expires_at[next(iter(self._expires_at))]
+        self.fingerprints = frozenset(self._expires_at)
 
     def expire(self, *, now: float) -> None:
         """Forget what wasn't told again."""
-        oldest = next(iter(self._until.values()), now + KEEP_SECONDS)
+        oldest = next(iter(self._expires_at.values()), now + FINGERPRINT_TTL_SECONDS)
         if oldest > now:
             return
-        self._until = {key: until for key, until in self._until.items() if until > now}
-        self.fingerprints = frozenset(self._until)
+        self._expires_at = {
+            key: until for key, until in self._expires_at.items() if until > now
+        }
+        self.fingerprints = frozenset(self._expires_at)
--- a/eelgrassrack/agent/records.py
+++ b/eelgrassrack/agent/records.py
@@ -19,7 +19,7 @@
 from .digests import Digests
 
 # Four times the longest deadline.
-RECALL_SECONDS = 3600.0
+RECORD_TTL_SECONDS = 3600.0
 
 # At about 300 bytes a record these take 6 MB.
 MAX_RECORDS = 20_000
@@ -30,26 +30,32 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, eq=False)
-class Record:
+class AttemptRecord:
     """The last word on an attempt that is no longer kept."""
 
-    word: NotStarted | Ended
-    at: float
+    message: NotStarted | Ended
+    recorded_at: float
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, eq=False)
-class Forgotten:
+class ExpiredRecord:
     """An attempt that started; how it ended is no longer known."""
 
 
 class AttemptRecords:
     """Records by attempt, the oldest first."""
 
-    __slots__ = ("_by_attempt", "_refused", "_refused_before", "_started", "_turned_at")
+    __slots__ = (
+        "_by_attempt",
+        "_refused",
+        "_refused_previous",
+        "_started",
+        "_rotated_at",
+    )
 
     def __init__(self, *, now: float) -> None:
-        self._by_attempt: dict[str, Record] = {}
-        self._turned_at = now
+        self._by_attempt: dict[str, AttemptRecord] = {}
+        self._rotated_at = now
         self.clear()
 
     @property
@@ -57,21 +63,21 @@
         """Tell whether nothing more can be remembered."""
         return max(len(self._started), len(self._refused)) >= MAX_DIGESTS
 
-    def find(self, *, key: str) -> Record | Forgotten | None:
+    def find(self, *, key: str) -> AttemptRecord | ExpiredRecord | None:
         """Return what is remembered of an attempt."""
         record = self._by_attempt.get(key)
         if record is not None:
             return record
         if key in self._started:
-            return Forgotten()
-        if key in self._refused or key in self._refused_before:
-            word = NotStarted(attempt=key, refusal=Refusal.NEVER_SEEN)
-            return Record(word=word, at=self._turned_at)
+            return ExpiredRecord()
+        if key in self._refused or key in self._refused_previous:
+            message = NotStarted(attempt=key, refusal=Refusal.NEVER_SEEN)
+            return AttemptRecord(message=message, recorded_at=self._rotated_at)
         return None
 
-    def add(self, *, key: str, word: NotStarted | Ended, now: float) -> None:
+    def add(self, *, key: str, message: NotStarted | Ended, now: float) -> None:
         """Remember the last word on an attempt."""
-        self._by_attempt[key] = Record(word=word, at=now)
+        self._by_attempt[key] = AttemptRecord(message=message, recorded_at=now)
         while len(self._by_attempt) > MAX_RECORDS:
             self._compact_oldest(keeps_refusal=True)
 
@@ -79,24 +85,24 @@
         """Compact the records of an hour ago."""
         while self._by_attempt:
             oldest = next(iter(self._by_attempt.values()))
-            if now - oldest.at <= RECALL_SECONDS:
+            if now - oldest.recorded_at <= RECORD_TTL_SECONDS:
                 break
             self._compact_oldest(keeps_refusal=False)
-        if now - self._turned_at > RECALL_SECONDS:
-            self._turned_at = now
-            self._refused_before, self._refused = self._refused, Digests()
+        if now - self._rotated_at > RECORD_TTL_SECONDS:
+            self._rotated_at = now
+            self._refused_previous, self._refused = self._refused, Digests()
 
     def clear(self) -> None:
         """Forget everything; only a new incarnation may do so."""
         self._by_attempt.clear()
         self._started = Digests()
         self._refused = Digests()
-        self._refused_before = Digests()
+        self._refused_previous = Digests()
 
     def _compact_oldest(self, *, keeps_refusal: bool) -> None:
         key = next(iter(self._by_attempt))
         record = self._by_attempt.pop(key)
-        if isinstance(record.word, Ended):
+        if isinstance(record.message, Ended):
             self._started.add(key)
         elif keeps_refusal:
             self._refused.add(key)
--- a/eelgrassrack/agent/relay.py
+++ b/eelgrassrack/agent/relay.py
@@ -29,39 +29,43 @@
         self._outbox = outbox
         self._metrics = metrics
 
-    def say(self, to: str, message: AnyMessage) -> None:
+    def send(self, to: str, message: AnyMessage) -> None:
         """Send a message behind all that was said before."""
         self._outbox.add(to, message)
 
-    def say_to_readers(self, attempt: Attempt, message: AnyMessage) -> None:
+    def send_to_readers(self, attempt: Attempt, message: AnyMessage) -> None:
         """Send a message to all that follow an attempt."""
         for reader in attempt.readers:
-            self.say(reader, message)
+            self.send(reader, message)
 
-    def vow(self, to: str, key: str, refusal: Refusal, *, now: float) -> None:
+    def send_tombstone(
+        self, to: str, key: str, refusal: Refusal, *, now: float
+    ) -> None:
         """Say that an attempt never starts, and remember it."""
-        self.say(to, self._attempts.bury(key=key, refusal=refusal, now=now))
+        self.send(to, self._attempts.add_tombstone(key=key, refusal=refusal, now=now))
 
     def refuse(
         self, attempt: Attempt, refusal: Refusal, *, retry_after: float, now: float
     ) -> None:
         """Say that a queued attempt never starts, and remember it."""
-        self._attempts.bury(key=attempt.key, refusal=refusal, now=now)
-        word = NotStarted(attempt=attempt.key, refusal=refusal, retry_after=retry_after)
-        self.say_to_readers(attempt, word)
+        self._attempts.add_tombstone(key=attempt.key, refusal=refusal, now=now)
+        message = NotStarted(
+            attempt=attempt.key, refusal=refusal, retry_after=retry_after
+        )
+        self.send_to_readers(attempt, message)
         self._metrics.count(NOT_STARTED, label=refusal.value)
 
     def begin(self, attempt: Attempt) -> None:
         """Say that an attempt starts, before its first byte is sent."""
         self._metrics.count(STARTED)
-        self.say_to_readers(attempt, Begun(attempt=attempt.key))
+        self.send_to_readers(attempt, Begun(attempt=attempt.key))
         self._outbox.flush()
 
-    def pass_on(self, attempt: Attempt, data: bytes) -> None:
+    def relay_piece(self, attempt: Attempt, data: bytes) -> None:
         """Send a piece and keep it."""
-        number = self._attempts.keep(attempt, data)
+        number = self._attempts.keep_piece(attempt, data)
         piece = Piece(attempt=attempt.key, number=number, data=data)
-        self.say_to_readers(attempt, piece)
+        self.send_to_readers(attempt, piece)
 
     def end(
         self,
@@ -88,10 +92,10 @@
         )
         self._attempts.end(attempt, ended=ended, now=now)
         for reader in {*attempt.readers, attempt.owner}:
-            self.tell_end(attempt, reader)
+            self.report_end(attempt, reader)
         self._outbox.flush()
 
-    def tell_end(self, attempt: Attempt, to: str) -> None:
+    def report_end(self, attempt: Attempt, to: str) -> None:
         """Say how an attempt ended; only its owner gets the bill.
 
         An entry that takes an answer over isn't given the bill with it.
@@ -100,7 +104,7 @@
         ended = attempt.ended
         if to != attempt.owner or attempt.holders or attempt.settled:
             ended = msgspec.structs.replace(ended, bill=None)
-        self.say(to, ended)
+        self.send(to, ended)
 
     def replay(self, attempt: Attempt, reader: str, offset: int) -> None:
         """Send an attempt's pieces again, from a number on.
@@ -111,14 +115,14 @@
         if reader not in attempt.readers:
             attempt.readers = (*attempt.readers, reader)
         if attempt.phase is Phase.QUEUED:
-            self.say(reader, Waits(attempt=attempt.key))
+            self.send(reader, Waits(attempt=attempt.key))
             return
         for number in range(offset, len(attempt.pieces)):
             data = attempt.pieces[number]
             piece = Piece(attempt=attempt.key, number=number, data=data)
-            self.say(reader, piece)
+            self.send(reader, piece)
         if attempt.phase is Phase.ENDED:
-            self.tell_end(attempt, reader)
+            self.report_end(attempt, reader)
 
 
 def digest_pieces(pieces: list[bytes]) -> str:
--- a/eelgrassrack/agent/replies.py
+++ b/eelgrassrack/agent/replies.py
@@ -16,7 +16,7 @@
 )
 from .admission import AgentState
 from .attempts import Attempt, Attempts, Phase
-from .records import Forgotten, Record
+from .records import AttemptRecord, ExpiredRecord
 from .relay import Relay
 
 
@@ -42,41 +42,45 @@
         """Say what became of an attempt; vow never to start an unseen one."""
         match self._attempts.find(key=ask.attempt):
             case Attempt(phase=Phase.QUEUED):
-                self._relay.say(sender, Waits(attempt=ask.attempt))
+                self._relay.send(sender, Waits(attempt=ask.attempt))
             case Attempt(phase=Phase.RUNNING):
-                self._relay.say(sender, Begun(attempt=ask.attempt))
+                self._relay.send(sender, Begun(attempt=ask.attempt))
             case Attempt() as attempt:
-                self._relay.tell_end(attempt, sender)
-            case Record(word=NotStarted()) if self._is_other(ask.agent):
+                self._relay.report_end(attempt, sender)
+            case AttemptRecord(message=NotStarted()) if self._is_other_incarnation(
+                ask.agent
+            ):
                 # The vow is this incarnation's.  The attempt was meant for
                 # another one, which may have run it.
-                self._relay.say(sender, UnknownAttempt(attempt=ask.attempt))
-            case Record(word=word):
-                self._relay.say(sender, word)
-            case Forgotten():
-                self._relay.say(sender, UnknownAttempt(attempt=ask.attempt))
-            case None if self._is_other(ask.agent):
-                self._relay.say(sender, UnknownAttempt(attempt=ask.attempt))
+                self._relay.send(sender, UnknownAttempt(attempt=ask.attempt))
+            case AttemptRecord(message=message):
+                self._relay.send(sender, message)
+            case ExpiredRecord():
+                self._relay.send(sender, UnknownAttempt(attempt=ask.attempt))
+            case None if self._is_other_incarnation(ask.agent):
+                self._relay.send(sender, UnknownAttempt(attempt=ask.attempt))
             case None:
-                self._vow(ask.attempt, sender)
+                self._refuse_unseen(ask.attempt, sender)
 
     def resume(self, resume: Resume, sender: str) -> None:
         """Send pieces again, and what follows to the same reader."""
         match self._attempts.find(key=resume.attempt):
-            case None | Forgotten():
-                self._relay.say(sender, UnknownAttempt(attempt=resume.attempt))
-            case Record(word=Ended() as ended) if resume.offset < ended.pieces:
-                self._say_gone(ended, sender)
-            case Record(word=word):
-                self._relay.say(sender, word)
+            case None | ExpiredRecord():
+                self._relay.send(sender, UnknownAttempt(attempt=resume.attempt))
+            case AttemptRecord(message=Ended() as ended) if (
+                resume.offset < ended.pieces
+            ):
+                self._report_missing_pieces(ended, sender)
+            case AttemptRecord(message=message):
+                self._relay.send(sender, message)
             case Attempt(ended=Ended() as ended) as attempt if (
                 len(attempt.pieces) < ended.pieces
             ):
-                self._say_gone(ended, sender)
+                self._report_missing_pieces(ended, sender)
             case Attempt() as attempt:
                 self._relay.replay(attempt, sender, max(resume.offset, 0))
 
-    def _say_gone(self, ended: Ended, sender: str) -> None:
+    def _report_missing_pieces(self, ended: Ended, sender: str) -> None:
         """Say that pieces which an entry lacks aren't kept any more.
 
         Told of the whole end again, the entry would ask for them again at
@@ -89,21 +93,21 @@
             digest=ended.digest,
             reason="the missing pieces are not kept any more",
         )
-        self._relay.say(sender, cut)
+        self._relay.send(sender, cut)
 
     def settle(self, settle: Settle) -> None:
         """Forget the answers whose bills are in a ledger."""
         for key in settle.attempts:
             self._attempts.settle(key=key, now=self._clock())
 
-    def _is_other(self, agent: str) -> bool:
+    def _is_other_incarnation(self, agent: str) -> bool:
         return agent != self._state.incarnation
 
-    def _vow(self, key: str, sender: str) -> None:
+    def _refuse_unseen(self, key: str, sender: str) -> None:
         if self._attempts.is_full:
             # This incarnation takes no start any more, so the vow holds
             # without a record.
-            word = NotStarted(attempt=key, refusal=Refusal.NEVER_SEEN)
-            self._relay.say(sender, word)
+            message = NotStarted(attempt=key, refusal=Refusal.NEVER_SEEN)
+            self._relay.send(sender, message)
             return
-        self._relay.vow(sender, key, Refusal.NEVER_SEEN, now=self._clock())
+        self._relay.send_tombstone(sender, key, Refusal.NEVER_SEEN, now=self._clock())
--- a/eelgrassrack/agent/runner.py
+++ b/eelgrassrack/agent/runner.py
@@ -25,13 +25,13 @@
 )
 from .admission import Deferred, Refused
 from .attempts import Attempt, Phase
-from .bills import bill_cancelled, bill_whole
+from .bills import bill_cancelled, bill_completed
 from .core import Core
-from .crashes import CrashWatch, IsAlive
+from .crashes import CrashDetector, IsAlive
 from .engine import Engine
 from .intake import Intake
-from .outcomes import Bad, Broken, NotConnected, Outcome, Whole
-from .records import Forgotten, Record
+from .outcomes import AnswerFailed, Completed, ConnectionBroken, NotConnected, Outcome
+from .records import AttemptRecord, ExpiredRecord
 from .transfer import Exchange
 
 log = logbook.Logger("runner")
@@ -52,7 +52,7 @@
         "_engine",
         "_intake",
         "_is_alive",
-        "_look",
+        "_probe",
     )
 
     def __init__(
@@ -70,13 +70,13 @@
         self._engine = engine
         self._announce = announce
         self._is_alive = is_alive
-        self._look: asyncio.Task[None] | None = None
-        self._crashes = CrashWatch(
+        self._probe: asyncio.Task[None] | None = None
+        self._crashes = CrashDetector(
             endpoint=core.state.endpoint,
             attempts=core.attempts,
             is_alive=is_alive,
             announce=announce,
-            on_crash=self._take_crash,
+            on_crash=self._handle_crash,
         )
 
     def pump(self) -> None:
@@ -89,13 +89,13 @@
                 organisation=attempt.start.organisation, now=self._core.clock()
             )
         if self._core.window.needs_probe and len(self._core.queue):
-            self._begin_look()
+            self._start_probe()
 
     def tick(self) -> None:
         """End what takes too long and start what may start."""
         now = self._core.clock()
         for attempt in list(self._core.attempts.running.values()):
-            self._watch(attempt, now)
+            self._check_timeouts(attempt, now)
         self.pump()
 
     def cancel(self, cancel: Cancel, sender: str) -> None:
@@ -103,35 +103,35 @@
         match self._core.attempts.find(key=cancel.attempt):
             case None:
                 self._cancel_unseen(cancel, sender)
-            case Forgotten():
-                word = UnknownAttempt(attempt=cancel.attempt)
-                self._core.relay.say(sender, word)
-            case Record(word=word):
-                self._core.relay.say(sender, word)
+            case ExpiredRecord():
+                message = UnknownAttempt(attempt=cancel.attempt)
+                self._core.relay.send(sender, message)
+            case AttemptRecord(message=message):
+                self._core.relay.send(sender, message)
             case Attempt(phase=Phase.QUEUED) as attempt:
                 self._core.refuse(attempt, Refusal.CANCELLED)
             case Attempt(phase=Phase.RUNNING) if cancel.only_waiting:
-                self._core.relay.say(sender, Begun(attempt=cancel.attempt))
+                self._core.relay.send(sender, Begun(attempt=cancel.attempt))
             case Attempt(phase=Phase.RUNNING) as attempt:
                 bill = bill_cancelled(attempt)
                 self._stop(attempt, Finish.CANCELLED, "cancelled", bill)
             case Attempt() as attempt:
-                self._core.relay.tell_end(attempt, sender)
+                self._core.relay.report_end(attempt, sender)
 
     def cut_all(self, reason: str) -> None:
         """End all that still runs, when there is no more time."""
         for attempt in list(self._core.attempts.running.values()):
             self._stop(attempt, Finish.CUT, reason)
 
-    def _begin_look(self) -> None:
-        if self._look is None or self._look.done():
-            self._look = asyncio.get_running_loop().create_task(self._see())
+    def _start_probe(self) -> None:
+        if self._probe is None or self._probe.done():
+            self._probe = asyncio.get_running_loop().create_task(self._probe_endpoint())
 
-    async def _see(self) -> None:
+    async def _probe_endpoint(self) -> None:
         """Look at the endpoint, and start what may start then."""
         await self._is_alive(self._core.clock())
-        if self._look is asyncio.current_task():
-            self._look = None
+        if self._probe is asyncio.current_task():
+            self._probe = None
             self._core.window.is_unprobed = False
             self.pump()
 
@@ -139,7 +139,7 @@
         self._core.slots.free(attempt)
         if not len(self._core.slots):
             # A look that is under way began before the endpoint was idle.
-            self._look = None
+            self._probe = None
             self._core.window.is_unprobed = True
 
     async def _run(self, attempt: Attempt, exchange: Exchange) -> None:
@@ -148,11 +148,11 @@
             outcome = await self._engine.run(
                 start=attempt.start,
                 exchange=exchange,
-                within=attempt.ends_by - self._core.clock(),
+                timeout=attempt.cut_at - self._core.clock(),
                 on_begun=lambda: self._begin(attempt),
-                on_piece=lambda data: self._pass_on(attempt, data),
+                on_piece=lambda data: self._relay_piece(attempt, data),
             )
-            await self._conclude(attempt, outcome)
+            await self._handle_outcome(attempt, outcome)
         except Exception as error:
             log.exception("runner: attempt failed: {}", attempt.key)
             self._abandon(attempt, str(error))
@@ -199,20 +199,20 @@
         check(Promise.LEAVING, not state.is_leaving(), state.endpoint)
         check(Promise.COLD_START, fits, f"{running} run")
 
-    def _pass_on(self, attempt: Attempt, data: bytes) -> None:
+    def _relay_piece(self, attempt: Attempt, data: bytes) -> None:
         if attempt.phase is not Phase.RUNNING:
             return
-        attempt.heard = self._core.clock()
-        self._core.relay.pass_on(attempt, data)
+        attempt.last_piece_at = self._core.clock()
+        self._core.relay.relay_piece(attempt, data)
 
-    async def _conclude(self, attempt: Attempt, outcome: Outcome) -> None:
+    async def _handle_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
         match outcome:
-            case Whole():
-                self._end_whole(attempt, outcome)
-            case Bad(reason=reason, status=status, cut=cut):
+            case Completed():
+                self._end_completed(attempt, outcome)
+            case AnswerFailed(reason=reason, status=status, cut=cut):
                 finish = Finish.CUT if cut else Finish.ENGINE_FAILED
                 self._end(attempt, finish, reason=reason, status=status)
-            case Broken(reason=reason):
+            case ConnectionBroken(reason=reason):
                 crashed = await self._crashes.has_crashed(attempt)
                 finish = Finish.ENGINE_CRASHED if crashed else Finish.CUT
                 self._end(attempt, finish, reason=reason)
@@ -229,7 +229,7 @@
             return
         self._end(attempt, Finish.ENGINE_FAILED, reason=reason)
 
-    def _end_whole(self, attempt: Attempt, outcome: Whole) -> None:
+    def _end_completed(self, attempt: Attempt, outcome: Completed) -> None:
         if attempt.phase is not Phase.RUNNING:
             return
         core = self._core
@@ -242,7 +242,7 @@
             Finish.WHOLE,
             status=outcome.status,
             headers=outcome.headers,
-            bill=bill_whole(attempt, outcome.usage),
+            bill=bill_completed(attempt, outcome.usage),
         )
         if start.alone and start.fingerprint:
             self._announce(Cleared(fingerprints=(start.fingerprint,)))
@@ -269,16 +269,16 @@
             bill=bill,
         )
 
-    def _watch(self, attempt: Attempt, now: float) -> None:
+    def _check_timeouts(self, attempt: Attempt, now: float) -> None:
         """End a running attempt that is late or silent."""
-        if now >= attempt.ends_by:
+        if now >= attempt.cut_at:
             self._stop(attempt, Finish.DEADLINE, "the deadline has passed")
             return
         if not attempt.start.stream:
             return
-        limit = NEXT_TOKEN_SECONDS if attempt.pieces else FIRST_TOKEN_SECONDS
-        if now - attempt.heard > limit:
-            self._stop(attempt, Finish.ENGINE_FAILED, f"no token for {limit:g} s")
+        timeout = NEXT_TOKEN_SECONDS if attempt.pieces else FIRST_TOKEN_SECONDS
+        if now - attempt.last_piece_at > timeout:
+            self._stop(attempt, Finish.ENGINE_FAILED, f"no token for {timeout:g} s")
 
     def _stop(
         self, attempt: Attempt, finish: Finish, reason: str, bill: Bill | None = None
@@ -286,7 +286,7 @@
         self._end(attempt, finish, reason=reason, bill=bill)
         self._core.slots.stop(attempt)
 
-    def _take_crash(self) -> None:
+    def _handle_crash(self) -> None:
         self._core.state.engine_up = False
         self._core.collapse(CollapseReason.ENGINE_FAILED)
 
@@ -294,9 +294,13 @@
         core = self._core
         now = core.clock()
         if cancel.agent == core.state.incarnation:
-            core.relay.vow(sender, cancel.attempt, Refusal.CANCELLED, now=now)
+            core.relay.send_tombstone(
+                sender, cancel.attempt, Refusal.CANCELLED, now=now
+            )
             return
         # A predecessor may have run it; only the vow not to start it from
         # now on can be kept, and it is no answer to the entry's question.
-        core.attempts.bury(key=cancel.attempt, refusal=Refusal.CANCELLED, now=now)
-        core.relay.say(sender, UnknownAttempt(attempt=cancel.attempt))
+        core.attempts.add_tombstone(
+            key=cancel.attempt, refusal=Refusal.CANCELLED, now=now
+        )
+        core.relay.send(sender, UnknownAttempt(attempt=cancel.attempt))
--- a/eelgrassrack/agent/transfer.py
+++ b/eelgrassrack/agent/transfer.py
@@ -6,13 +6,21 @@
 import pycurl
 from tornado.curl_httpclient import CurlError
 
-from .answers import Answer, PlainAnswer
+from .answers import ChatAnswer, PlainAnswer
 from .errors import AnswerError
 from .headers import drop_hop_by_hop
-from .outcomes import Bad, Broken, NotConnected, Outcome, Stopped, Usage, Whole
+from .outcomes import (
+    AnswerFailed,
+    Completed,
+    ConnectionBroken,
+    NotConnected,
+    Outcome,
+    Stopped,
+    Usage,
+)
 
 # Longest text of a failed answer that is kept to tell the caller why.
-REASON_BYTES = 2000
+MAX_REASON_BYTES = 2000
 
 # Curl's errors that mean the connection broke rather than the answer.
 BROKEN_ERRORS = frozenset(
@@ -58,7 +66,7 @@
         "_begun",
         "_error",
         "_exchange",
-        "_failed",
+        "_error_body",
         "_headers",
         "_on_begun",
         "_status",
@@ -68,7 +76,7 @@
         self,
         *,
         exchange: Exchange,
-        answer: Answer | PlainAnswer,
+        answer: ChatAnswer | PlainAnswer,
         on_begun: Callable[[], bool],
     ) -> None:
         self._exchange = exchange
@@ -76,7 +84,7 @@
         self._on_begun = on_begun
         self._begun = False
         self._error: AnswerError | None = None
-        self._failed = bytearray()
+        self._error_body = bytearray()
         self._headers: list[tuple[str, str]] = []
         self._status = 0
 
@@ -91,10 +99,10 @@
         curl.setopt(pycurl.FORBID_REUSE, 1)
         curl.setopt(pycurl.NOPROXY, "*")
         curl.setopt(pycurl.OPENSOCKETFUNCTION, self._open_socket)
-        curl.setopt(pycurl.PREREQFUNCTION, self._allow)
+        curl.setopt(pycurl.PREREQFUNCTION, self._confirm_start)
         # Headers and chunks are taken in curl's own callbacks: the queue that
         # tornado puts in between costs a turn of the loop for each token.
-        curl.setopt(pycurl.HEADERFUNCTION, self._take_header)
+        curl.setopt(pycurl.HEADERFUNCTION, self._read_header)
         curl.setopt(pycurl.WRITEFUNCTION, self._write)
 
     def explain(self, error: CurlError) -> Outcome:
@@ -102,25 +110,25 @@
         if self._exchange.stopped:
             return Stopped()
         if self._error is not None:
-            return Bad(reason=self._error.reason, cut=self._error.cut)
+            return AnswerFailed(reason=self._error.reason, cut=self._error.cut)
         if not self._begun:
             return NotConnected(reason=str(error))
         if error.errno in BROKEN_ERRORS:
-            return Broken(reason=str(error))
-        return Bad(reason=str(error))
+            return ConnectionBroken(reason=str(error))
+        return AnswerFailed(reason=str(error))
 
     def finish(self, status: int) -> Outcome:
         """Judge an answer that came to its end."""
         if self._error is not None:
-            return Bad(reason=self._error.reason, cut=self._error.cut)
-        if not self._answer.takes(status):
-            text = self._failed[:REASON_BYTES].decode(errors="replace")
-            return Bad(reason=text or f"status {status}", status=status)
+            return AnswerFailed(reason=self._error.reason, cut=self._error.cut)
+        if not self._answer.accepts(status):
+            text = self._error_body[:MAX_REASON_BYTES].decode(errors="replace")
+            return AnswerFailed(reason=text or f"status {status}", status=status)
         try:
             usage = self._answer.finish(tuple(self._headers))
         except AnswerError as error:
-            return Bad(reason=error.reason, cut=error.cut)
-        return Whole(
+            return AnswerFailed(reason=error.reason, cut=error.cut)
+        return Completed(
             status=status,
             headers=drop_hop_by_hop(tuple(self._headers)),
             usage=None if usage is None else Usage(**usage),
@@ -131,14 +139,14 @@
         self._exchange.sockets.append(opened)
         return opened
 
-    def _allow(self, *unused_addresses: object) -> int:
+    def _confirm_start(self, *unused_addresses: object) -> int:
         if self._exchange.stopped or not self._on_begun():
             self._exchange.stopped = True
             return pycurl.PREREQFUNC_ABORT
         self._begun = True
         return pycurl.PREREQFUNC_OK
 
-    def _take_header(self, line: bytes) -> None:
+    def _read_header(self, line: bytes) -> None:
         text = line.decode("latin-1").strip()
         if text.startswith("HTTP/"):
             # An interim answer may come first; the last status counts.
@@ -152,8 +160,8 @@
     def _write(self, data: bytes) -> int:
         if self._exchange.stopped:
             return 0
-        if not self._answer.takes(self._status):
-            self._failed += data[: REASON_BYTES - len(self._failed)]
+        if not self._answer.accepts(self._status):
+            self._error_body += data[: MAX_REASON_BYTES - len(self._error_body)]
             return len(data)
         try:
             self._answer.feed(data)
--- a/eelgrassrack/mailbox/socket.py
+++ b/eelgrassrack/mailbox/socket.py
@@ -27,11 +27,11 @@
 Deliver = Callable[[MessageBatch], None]
 
 # A receiver that is this many parcels behind is as good as gone.
-SEND_BUFFER_PARCELS = 256
-RECEIVE_BUFFER_PARCELS = 512
+SEND_BUFFER_BATCHES = 256
+RECEIVE_BUFFER_BATCHES = 512
 
 # Parcels taken from the socket before other work gets its turn.
-PARCELS_A_TURN = 64
+BATCHES_PER_TURN = 64
 
 # A peer's socket is closed after this many seconds without a message.
 IDLE_SECONDS = 120.0
@@ -39,10 +39,10 @@
 # What waits for a peer that can't be reached for this many seconds is dropped.
 # The library would keep it for as long as the way is cut, and a start that
 # comes hours late finds an agent that has forgotten that it refused it.
-UNREACHED_SECONDS = 30.0
+UNREACHABLE_SECONDS = 30.0
 
 # Largest parcel: the longest body a caller may send, with room around it.
-PARCEL_BYTES = 4_000_000
+MAX_BATCH_BYTES = 4_000_000
 
 # The library starts two threads for each core and wakes all of them in turn
 # for a process that has work for one: that costs a third of an entry's CPU.
@@ -76,11 +76,11 @@
         self.reached_at = now
         self.used_at = now
 
-    def is_of_use(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether the peer is written to and can be reached."""
         if self.socket.pipes:
             self.reached_at = now
-        is_reached = now - self.reached_at <= UNREACHED_SECONDS
+        is_reached = now - self.reached_at <= UNREACHABLE_SECONDS
         return is_reached and now - self.used_at <= IDLE_SECONDS
 
 
@@ -117,7 +117,7 @@
         """
         self._loop = asyncio.get_running_loop()
         pull = pynng.Pull0(
-            recv_buffer_size=RECEIVE_BUFFER_PARCELS, recv_max_size=PARCEL_BYTES
+            recv_buffer_size=RECEIVE_BUFFER_BATCHES, recv_max_size=MAX_BATCH_BYTES
         )
         try:
             listener = pull.listen(self.address)
@@ -157,14 +157,14 @@
     def close_idle(self) -> None:
         """Close the sockets of peers not written to, or not reached, for long."""
         now = self._loop.time()
-        idle = [name for name, peer in self._peers.items() if not peer.is_of_use(now)]
+        idle = [name for name, peer in self._peers.items() if not peer.is_active(now)]
         for address in idle:
             self._peers.pop(address).socket.close()
 
     def _find_peer(self, address: str) -> Peer:
         peer = self._peers.get(address)
         if peer is None:
-            socket = pynng.Push0(send_buffer_size=SEND_BUFFER_PARCELS)
+            socket = pynng.Push0(send_buffer_size=SEND_BUFFER_BATCHES)
             # Without a cap the library waits ever longer between two tries,
             # and a peer that came back after an outage would stay cut off.
             socket.reconnect_time_min = 50
@@ -204,7 +204,7 @@
         self.counts["messages_sent"] += len(messages)
 
     def _receive(self) -> None:
-        for _ in range(PARCELS_A_TURN):
+        for _ in range(BATCHES_PER_TURN):
             if self._closed:
                 return
             try:
--- a/test/agent/fakes.py
+++ b/test/agent/fakes.py
@@ -6,11 +6,11 @@
 from eelgrassrack.agent.attempts import Attempts
 from eelgrassrack.agent.core import make_core
 from eelgrassrack.agent.custody import BillKeeper
-from eelgrassrack.agent.entries import Entries
+from eelgrassrack.agent.entries import EntryDirectory
 from eelgrassrack.agent.inbox import Inbox
 from eelgrassrack.agent.intake import Intake
 from eelgrassrack.agent.outbox import Outbox
-from eelgrassrack.agent.outcomes import NotConnected, Stopped, Usage, Whole
+from eelgrassrack.agent.outcomes import Completed, NotConnected, Stopped, Usage
 from eelgrassrack.agent.pause import PauseDetector
 from eelgrassrack.agent.quarantine import Quarantine
 from eelgrassrack.agent.relay import Relay
@@ -26,7 +26,7 @@
 OTHER = "tcp://127.0.0.1:2"
 VERSION = "m/1"
 FACTS = Facts(revision=1, serves=(VERSION,), concurrency=2, cold_concurrency=2)
-WHOLE = Whole(status=200, usage=Usage(prompt_tokens=3, completion_tokens=5))
+WHOLE = Completed(status=200, usage=Usage(prompt_tokens=3, completion_tokens=5))
 
 # Turns of the loop in which everything that is due has happened.
 TURNS = 8
@@ -51,7 +51,7 @@
         self.calls = {}
         self.ran = []
 
-    async def run(self, *, start, exchange, within, on_begun, on_piece):
+    async def run(self, *, start, exchange, timeout, on_begun, on_piece):
         if self.refuses:
             return NotConnected(reason="refused")
         call = Call(exchange=exchange, on_piece=on_piece)
@@ -88,12 +88,12 @@
         self.engine = FakeEngine()
         self.invariants = Invariants(strict=True)
         self.state = AgentState(endpoint="x", domain="d", pool="p", incarnation=AGENT)
-        self.entries = Entries(name="x")
+        self.entries = EntryDirectory(name="x")
         self.attempts = Attempts(now=self.now)
         self.build()
 
     def build(self):
-        outbox = Outbox(post=self.post, later=lambda _, call: self.due.append(call))
+        outbox = Outbox(post=self.post, schedule=lambda _, call: self.due.append(call))
         metrics = Metrics(settings=MetricSettings())
         relay = Relay(attempts=self.attempts, outbox=outbox, metrics=metrics)
         self.pause = PauseDetector(
@@ -138,7 +138,7 @@
             pause=self.pause,
             quarantine=Quarantine(),
             post=self.post,
-            on_newer=lambda: None,
+            on_new_revision=lambda: None,
         )
 
     def clock(self):
--- a/test/agent/test_answers.py
+++ b/test/agent/test_answers.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eelgrassrack.agent.answers import PlainAnswer, StreamedAnswer, WholeChat
+from eelgrassrack.agent.answers import JsonChatAnswer, PlainAnswer, StreamedAnswer
 from eelgrassrack.agent.errors import AnswerError
 
 
@@ -90,7 +90,7 @@
     ],
 )
 def test_a_body_that_is_no_whole_answer(body):
-    answer = WholeChat(attempt="a", on_piece=[].append)
+    answer = JsonChatAnswer(attempt="a", on_piece=[].append)
     answer.feed(body if isinstance(body, bytes) else body.encode())
     with pytest.raises(AnswerError):
         answer.finish(())
--- a/test/agent/test_attempts.py
+++ b/test/agent/test_attempts.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from eelgrassrack.agent.outcomes import Bad, Broken
+from eelgrassrack.agent.outcomes import AnswerFailed, ConnectionBroken
 from eelgrassrack.mailbox.messages import (
     Ask,
     Begun,
@@ -24,7 +24,9 @@
 
 NAMES = st.sampled_from([f"a{number}" for number in range(6)])
 VERSIONS = ("m/1", "m/2")
-OUTCOMES = st.sampled_from([WHOLE, Bad(reason="bad"), Broken(reason="reset")])
+OUTCOMES = st.sampled_from(
+    [WHOLE, AnswerFailed(reason="bad"), ConnectionBroken(reason="reset")]
+)
 
 
 class AgentSteps(RuleBasedStateMachine):
--- a/test/agent/test_custody.py
+++ b/test/agent/test_custody.py
@@ -5,7 +5,7 @@
 import pytest
 
 from eelgrassrack.agent import intake
-from eelgrassrack.agent.custody import CLOSED_SECONDS, RESEND_SECONDS
+from eelgrassrack.agent.custody import CLOSED_LEDGER_SECONDS, RESEND_SECONDS
 from eelgrassrack.mailbox.messages import (
     Custody,
     Ended,
@@ -97,7 +97,7 @@
     async def scenario(station):
         incarnation = "e.2" if restarted else "e.1"
         entry = (ENTRY, incarnation, "e.2.1")
-        said = await beat(station, 2 if restarted else CLOSED_SECONDS + 2, entry)
+        said = await beat(station, 2 if restarted else CLOSED_LEDGER_SECONDS + 2, entry)
         custody = find(said, Custody)[0]
         assert (custody.holders, custody.into) == (("e.1.1",), "e.2.1")
 
--- a/test/agent/test_entries.py
+++ b/test/agent/test_entries.py
@@ -1,6 +1,11 @@
 """Tests of which entries an agent talks to."""
 
-from eelgrassrack.agent.entries import HEARD_SECONDS, PARENTS, SILENT_SECONDS, Entries
+from eelgrassrack.agent.entries import (
+    ACTIVE_SECONDS,
+    PARENT_COUNT,
+    SILENT_SECONDS,
+    EntryDirectory,
+)
 from eelgrassrack.store.instances import Instance, Role
 
 ADDRESSES = [f"tcp://127.0.0.1:{port}" for port in range(1, 41)]
@@ -20,14 +25,14 @@
 
 
 def make_entries(addresses=ADDRESSES, **changes):
-    entries = Entries(name="x")
-    entries.take_listing(make_instances(addresses, **changes), now=0.0)
+    entries = EntryDirectory(name="x")
+    entries.apply_listing(make_instances(addresses, **changes), now=0.0)
     return entries
 
 
 def test_parents_change_only_where_one_is_gone():
     parents = make_entries().find_parents(now=0.0)
-    assert len(parents) == PARENTS
+    assert len(parents) == PARENT_COUNT
     rest = [address for address in ADDRESSES if address != parents[0]]
     assert make_entries(rest).find_parents(now=0.0)[:2] == parents[1:]
     stays = make_entries(leaving=parents[:1]).find_parents(now=0.0)
@@ -44,11 +49,11 @@
     entries = make_entries()
     parents = entries.find_parents(now=0.0)
     other = next(address for address in ADDRESSES if address not in parents)
-    entries.hear(address=other, incarnation="e.1", now=0.0)
-    late = HEARD_SECONDS + 1.0
-    assert other in entries.find_listeners(served=(), now=1.0)
-    assert other not in entries.find_listeners(served=(), now=late)
-    assert other in entries.find_listeners(served=(other,), now=late)
+    entries.note_message(address=other, incarnation="e.1", now=0.0)
+    late = ACTIVE_SECONDS + 1.0
+    assert other in entries.find_heartbeat_receivers(served=(), now=1.0)
+    assert other not in entries.find_heartbeat_receivers(served=(), now=late)
+    assert other in entries.find_heartbeat_receivers(served=(other,), now=late)
 
 
 def test_silence_during_an_own_pause_accuses_nobody():
@@ -58,7 +63,7 @@
     bill over and have all their ledgers sealed under them.
     """
     entries = make_entries()
-    entries.hear(address=ADDRESSES[0], incarnation="e.1", now=0.0)
+    entries.note_message(address=ADDRESSES[0], incarnation="e.1", now=0.0)
     woken = 6 * SILENT_SECONDS
     lost = {"address": ADDRESSES[0], "incarnation": "e.1", "now": woken}
     assert entries.is_lost(**lost)
--- a/test/agent/test_health.py
+++ b/test/agent/test_health.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from eelgrassrack.agent.health import Down, Health, Report
+from eelgrassrack.agent.health import EndpointDown, Health, HealthReport
 from eelgrassrack.decisions.coldstart import CollapseReason
 
 
@@ -27,21 +27,25 @@
     It answers each poll, but its caches are gone.  Given its full load at
     once it falls over again, and its callers lose their answers again.
     """
-    health, collapses = note_all(Report(incarnation="a"), Report(incarnation="b"))
+    health, collapses = note_all(
+        HealthReport(incarnation="a"), HealthReport(incarnation="b")
+    )
     assert collapses == [CollapseReason.ENGINE_RESTARTED]
     assert health.restarted_at == 7.0
 
 
 def test_down_and_up_again_is_a_restart():
-    health, collapses = note_all(Report(), Down(), Down())
+    health, collapses = note_all(HealthReport(), EndpointDown(), EndpointDown())
     assert not health.is_up
     assert collapses == []
-    assert note_all(Report(), Down(), Report())[1] == [CollapseReason.ENGINE_RESTARTED]
+    assert note_all(HealthReport(), EndpointDown(), HealthReport())[1] == [
+        CollapseReason.ENGINE_RESTARTED
+    ]
 
 
 def test_a_cold_start_is_taken_once_each_time():
-    cold = Report(incarnation="a", cold=True)
-    warm = Report(incarnation="a")
+    cold = HealthReport(incarnation="a", cold=True)
+    warm = HealthReport(incarnation="a")
     assert (
         note_all(warm, cold, cold, warm, cold)[1] == [CollapseReason.REPORTED_COLD] * 2
     )
@@ -53,9 +57,9 @@
     It is the same one as before. Were its window closed for that, callers
     would wait behind a few slots of an engine that bears many.
     """
-    same = Report(incarnation="a")
-    health, collapses = note_all(same, Down(), same)
+    same = HealthReport(incarnation="a")
+    health, collapses = note_all(same, EndpointDown(), same)
     assert health.is_up
     assert collapses == []
-    changed = note_all(same, Down(), Report(incarnation="b"))[1]
+    changed = note_all(same, EndpointDown(), HealthReport(incarnation="b"))[1]
     assert changed == [CollapseReason.ENGINE_RESTARTED]
--- a/test/agent/test_records.py
+++ b/test/agent/test_records.py
@@ -3,7 +3,12 @@
 import pytest
 
 from eelgrassrack.agent import records
-from eelgrassrack.agent.records import RECALL_SECONDS, AttemptRecords, Forgotten, Record
+from eelgrassrack.agent.records import (
+    RECORD_TTL_SECONDS,
+    AttemptRecord,
+    AttemptRecords,
+    ExpiredRecord,
+)
 from eelgrassrack.mailbox.messages import Ended, Finish, NotStarted, Refusal
 
 
@@ -23,9 +28,9 @@
     submission would run again and be counted twice.
     """
     kept = AttemptRecords(now=0.0)
-    kept.add(key="a", word=make_ended("a"), now=0.0)
-    kept.expire(now=100 * RECALL_SECONDS)
-    assert isinstance(kept.find(key="a"), Forgotten)
+    kept.add(key="a", message=make_ended("a"), now=0.0)
+    kept.expire(now=100 * RECORD_TTL_SECONDS)
+    assert isinstance(kept.find(key="a"), ExpiredRecord)
     assert kept.find(key="b") is None
 
 
@@ -39,24 +44,24 @@
     kept = AttemptRecords(now=0.0)
     for number in range(5):
         key = f"a{number}"
-        kept.add(key=key, word=make_refused(key), now=1.0)
+        kept.add(key=key, message=make_refused(key), now=1.0)
     for number in range(5):
         found = kept.find(key=f"a{number}")
-        assert isinstance(found, Record)
-        assert isinstance(found.word, NotStarted)
+        assert isinstance(found, AttemptRecord)
+        assert isinstance(found.message, NotStarted)
     for hours in (2, 4, 6):
-        kept.expire(now=hours * RECALL_SECONDS)
+        kept.expire(now=hours * RECORD_TTL_SECONDS)
     assert kept.find(key="a0") is None
 
 
-@pytest.mark.parametrize("make_word", [make_ended, make_refused])
-def test_full_digests_are_told(monkeypatch, make_word):
+@pytest.mark.parametrize("make_message", [make_ended, make_refused])
+def test_full_digests_are_told(monkeypatch, make_message):
     monkeypatch.setattr(records, "MAX_RECORDS", 1)
     monkeypatch.setattr(records, "MAX_DIGESTS", 3)
     kept = AttemptRecords(now=0.0)
     for number in range(4):
         assert not kept.is_full
-        kept.add(key=str(number), word=make_word(str(number)), now=0.0)
+        kept.add(key=str(number), message=make_message(str(number)), now=0.0)
     assert kept.is_full
     kept.clear()
     assert not kept.is_full
--- a/test/agent/test_runner.py
+++ b/test/agent/test_runner.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from eelgrassrack.agent.outcomes import Bad, Broken, NotConnected
+from eelgrassrack.agent.outcomes import AnswerFailed, ConnectionBroken, NotConnected
 from eelgrassrack.agent.runner import NEXT_TOKEN_SECONDS
 from eelgrassrack.decisions.coldstart import CollapseReason
 from eelgrassrack.mailbox.messages import (
@@ -312,8 +312,8 @@
         await station.take(make_start("a", fingerprint="f"))
         await station.take(make_start("b", fingerprint="g"))
         station.alive = False
-        said = await station.end("a", Broken(reason="reset"))
-        said += await station.end("b", Broken(reason="reset"))
+        said = await station.end("a", ConnectionBroken(reason="reset"))
+        said += await station.end("b", ConnectionBroken(reason="reset"))
         assert set(finishes(said).values()) == {Finish.ENGINE_CRASHED}
         assert station.announced == [Crash(endpoint="x", fingerprints=("f", "g"))]
         assert refusals(await station.take(make_start("c"))) == {
@@ -330,7 +330,7 @@
 def test_one_broken_connection_accuses_nobody():
     async def scenario(station):
         await station.take(make_start("a", fingerprint="f"), make_start("b"))
-        said = await station.end("a", Broken(reason="reset"))
+        said = await station.end("a", ConnectionBroken(reason="reset"))
         assert finishes(said) == {"a": Finish.CUT}
         assert station.announced == []
 
@@ -407,7 +407,7 @@
 def test_a_bad_answer_is_no_whole_answer():
     async def scenario(station):
         await station.take(make_start("a"), make_start("b"))
-        said = await station.end("a", Bad(reason="early", cut=True))
+        said = await station.end("a", AnswerFailed(reason="early", cut=True))
         said += await station.end("b", NotConnected(reason="unused"))
         assert finishes(said) == {"a": Finish.CUT, "b": Finish.ENGINE_FAILED}
         assert all(m.bill is None for m in said if isinstance(m, Ended))
--- a/test/mailbox/test_socket.py
+++ b/test/mailbox/test_socket.py
@@ -12,15 +12,15 @@
 from eelgrassrack.mailbox.socket import Mailbox
 
 ANY_PORT = "tcp://127.0.0.1:0"
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
-def make_mailbox(name, parcels):
-    return Mailbox(address=ANY_PORT, incarnation=name, deliver=parcels.append)
+def make_mailbox(name, batches):
+    return Mailbox(address=ANY_PORT, incarnation=name, deliver=batches.append)
 
 
 async def wait_until(condition):
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -92,7 +92,7 @@
         left.close()
         right.close()
 
-    asyncio.run(asyncio.wait_for(scenario(), PATIENCE))
+    asyncio.run(asyncio.wait_for(scenario(), TIMEOUT_SECONDS))
 
 
 def test_what_waits_for_a_peer_isnt_kept_until_others_have_forgotten_it(monkeypatch):
@@ -102,7 +102,7 @@
     keeps the start. The entry gave it up, a resend through another entry made
     the agent vow never to start it and was run elsewhere.
     """
-    monkeypatch.setattr(socket, "UNREACHED_SECONDS", 0.2, raising=False)
+    monkeypatch.setattr(socket, "UNREACHABLE_SECONDS", 0.2, raising=False)
 
     async def scenario():
         received = []
@@ -125,7 +125,7 @@
         right.close()
         return received
 
-    received = asyncio.run(asyncio.wait_for(scenario(), PATIENCE))
+    received = asyncio.run(asyncio.wait_for(scenario(), TIMEOUT_SECONDS))
     assert received[0].messages == [Cancel(attempt="new")]
 
 
