--- a/test/agent/fakes.py
+++ b/test/agent/fakes.py
@@ -77,7 +77,11 @@
 
 
 class Station:
-    """An agent's core with fakes around it; time moves by `advance`."""
+    """An agent's core with fakes around it; time moves by `advance`.
+
+    The state machine in test_attempts.py uses this class.  Hypothesis seeds that
+    machine from its source, so a new name here would change the examples it draws.
+    """
 
     def __init__(self):
         self.now = 100.0
@@ -87,7 +91,9 @@
         self.due = []
         self.engine = FakeEngine()
         self.invariants = Invariants(strict=True)
-        self.state = AgentState(endpoint="x", domain="d", pool="p", incarnation=AGENT)
+        self.standing = AgentState(
+            endpoint="x", domain="d", pool="p", incarnation=AGENT
+        )
         self.entries = EntryDirectory(name="x")
         self.attempts = Attempts(now=self.now)
         self.build()
@@ -97,13 +103,13 @@
         metrics = Metrics(settings=MetricSettings())
         relay = Relay(attempts=self.attempts, outbox=outbox, metrics=metrics)
         self.pause = PauseDetector(
-            state=self.state,
+            state=self.standing,
             entries=self.entries,
             post=self.post,
             clock=self.clock,
         )
         self.core = make_core(
-            state=self.state,
+            state=self.standing,
             attempts=self.attempts,
             relay=relay,
             clock=self.clock,
@@ -132,7 +138,7 @@
             replies=Replies(
                 attempts=self.attempts,
                 relay=relay,
-                state=self.state,
+                state=self.standing,
                 clock=self.clock,
             ),
             pause=self.pause,
@@ -146,7 +152,7 @@
 
     def answer(self, revision=1):
         """Return the heartbeat that answers the agent's last question."""
-        return make_presence("e.1.1", revision=revision, answers=self.state.question)
+        return make_presence("e.1.1", revision=revision, answers=self.standing.question)
 
     def post(self, to, message):
         self.sent.append((to, message))
--- a/test/agent/test_attempts.py
+++ b/test/agent/test_attempts.py
@@ -57,7 +57,7 @@
     def stop_station(self):
         """End what runs without a new start."""
         station = self.station
-        station.state.leaving = True
+        station.standing.leaving = True
         station.core.slots.stop_all()
         self.call(station.settle())
         self.call(station.core.slots.wait())
@@ -67,7 +67,7 @@
 
     async def make_station(self):
         station = Station()
-        station.state.incarnation = self.agent
+        station.standing.incarnation = self.agent
         station.engine = engine = FakeEngine()
         station.runner._engine = engine
         engine.ran = Watched(self)
@@ -221,7 +221,7 @@
 
     @rule()
     def recover_engine(self):
-        self.station.state.engine_up = True
+        self.station.standing.engine_up = True
         self.note(self.call(self.station.watch(self.station.runner.pump)))
 
     @rule()
--- a/test/agent/test_runner.py
+++ b/test/agent/test_runner.py
@@ -118,7 +118,7 @@
         await station.take(make_start("b", revision=3))
         assert refusals(await station.advance(1.5)) == {"b": Refusal.STALE}
         await station.take(FACTS)
-        assert station.state.facts.revision == 2
+        assert station.standing.facts.revision == 2
 
     run(scenario)
 
@@ -136,7 +136,7 @@
         await station.take(make_start("a"), make_start("b"), make_start("c"))
         station.now += 40.0
         said = await station.take(make_presence("e.1.1"))
-        assert Hello(question=station.state.question) in said
+        assert Hello(question=station.standing.question) in said
         await station.end("a")
         await station.advance(0.5)
         assert station.engine.ran == ["a", "b"]
@@ -319,7 +319,7 @@
         assert refusals(await station.take(make_start("c"))) == {
             "c": Refusal.ENGINE_DOWN
         }
-        station.state.engine_up = True
+        station.standing.engine_up = True
         await station.take(Quarantined(fingerprints=("f",)))
         said = await station.take(make_start("d", fingerprint="f"))
         assert refusals(said) == {"d": Refusal.QUARANTINED}
