--- a/eelgrassrack/agent/__init__.py
+++ b/eelgrassrack/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent daemon: the only way to its endpoint."""
+"""The agent daemon, through which all requests reach its endpoint."""
--- a/eelgrassrack/agent/admission.py
+++ b/eelgrassrack/agent/admission.py
@@ -1,8 +1,8 @@
-"""Whether an attempt may start now, from what the agent knows.
+"""Decide whether an attempt may start now, from what the agent knows.
 
-The gate is asked twice: when an attempt arrives and again at the moment it
-would start.  In between a version may be withdrawn or a failure domain
-taken out, and work that was queued before must not run after.
+The check is made when an attempt arrives, when its turn comes, and again right
+before it starts.  In between a version may be withdrawn or a failure domain taken
+out, and attempts that were queued before such a change must not run after it.
 """
 
 import msgspec
@@ -15,7 +15,7 @@
 
 
 class Deferred(msgspec.Struct, kw_only=True, frozen=True):
-    """Whether it may start isn't known until newer facts come."""
+    """The attempt must wait for newer facts before this can be decided."""
 
 
 class Refused(msgspec.Struct, kw_only=True, frozen=True):
@@ -28,11 +28,11 @@
 
 
 class AgentState(msgspec.Struct, kw_only=True):
-    """What an agent knows of itself and its endpoint.
+    """What an agent knows about itself and its endpoint.
 
-    `confirmed` is false after a pause of the agent's own, until an entry
-    has confirmed that the facts are still in force.  It is asked with
-    `question`, which is another one after each pause.
+    `confirmed` is false after a pause of this process until an entry has confirmed
+    that the facts still hold.  `question` is the nonce of the agent's request for
+    that confirmation, a new one after each pause.
     """
 
     endpoint: str
@@ -48,21 +48,21 @@
     quarantined: frozenset[str] = frozenset()
 
     def is_withdrawn(self, start: Start) -> bool:
-        """Tell whether the attempt's version is withdrawn."""
+        """Return whether the attempt's version is withdrawn."""
         return bool(start.version) and start.version in self.facts.withdrawn
 
     def is_out(self) -> bool:
-        """Tell whether the endpoint or its failure domain is out."""
+        """Return whether the endpoint's failure domain is taken out."""
         return self.domain in self.facts.domains_out
 
     def is_leaving(self) -> bool:
-        """Tell whether the endpoint takes no new work for good."""
+        """Return whether the endpoint is leaving and accepts no new work."""
         if self.leaving or self.listed_leaving:
             return True
         return self.facts is not None and self.endpoint in self.facts.endpoints_out
 
     def is_served(self, start: Start) -> bool:
-        """Tell whether the endpoint has what the attempt needs."""
+        """Return whether the endpoint serves the attempt's version or service."""
         if start.service or self.facts.service:
             return start.service == self.facts.service
         return start.version in self.facts.serves
@@ -95,10 +95,7 @@
 
 
 def merge_facts(known: Facts | None, offered: Facts) -> Facts:
-    """Return the facts in force after others were offered.
-
-    A lower revision never replaces a higher one.
-    """
+    """Return the offered facts, or the known ones if their revision is higher."""
     if known is not None and offered.revision < known.revision:
         return known
     return offered
--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -1,4 +1,4 @@
-"""One agent: its parts, wired and supervised."""
+"""The agent: wires its parts together and supervises them."""
 
 import asyncio
 import time
@@ -44,12 +44,12 @@
 SWEEP_SECONDS = 1.0
 DRAIN_POLL_SECONDS = 0.05
 
-# Longest time to settle bills alone, after the grace.
+# Limit for settling bills without an entry once the grace period is over.
 SETTLE_SECONDS = 5.0
 
 
 class Agent:
-    """One agent beside one endpoint."""
+    """An agent, which runs beside its endpoint and controls access to it."""
 
     __slots__ = (
         "_attempts",
@@ -88,9 +88,10 @@
         invariants: Invariants | None = None,
         store: ObjectStore | None = None,
     ) -> None:
-        """Wire an agent; it needs a running loop.
+        """Wire the parts together; requires a running event loop.
 
-        `store` is used once, for bills that no entry took before a stop.
+        `store` is used only during a stop, to settle bills that no entry has
+        settled.
         """
         self.invariants = invariants or Invariants()
         self._settings = settings
@@ -129,7 +130,7 @@
         self._wire_attempts()
 
     def _wire_attempts(self) -> None:
-        """Make the parts that deal with attempts."""
+        """Create the parts that handle attempts."""
         self._attempts = Attempts(now=self._clock())
         relay = Relay(
             attempts=self._attempts, outbox=self._outbox, metrics=self._metrics
@@ -182,18 +183,18 @@
 
     @property
     def address(self) -> str:
-        """Return the mailbox's address, with its port once started."""
+        """Return the mailbox's address; it holds the real port once started."""
         return self._mailbox.address
 
     @property
     def incarnation(self) -> str:
-        """Return the name of this start of the agent."""
+        """Return the name that identifies this run of the agent."""
         return self._state.incarnation
 
     async def start(self) -> None:
-        """Listen and begin to follow entries and the endpoint's health.
+        """Listen, and start to follow the instance list and the endpoint's health.
 
-        Raise `MailboxError` when the mailbox's address can't be had.
+        Raise `MailboxError` if the mailbox can't listen on its address.
         """
         self._mailbox.open()
         await self._poll_health()
@@ -203,12 +204,14 @@
         log.info("agent: {} listens on {}", self.incarnation, self.address)
 
     async def stop(self) -> None:
-        """Leave: refuse new work, end what runs, pass the bills on, close.
+        """Shut down gracefully.
 
-        Waits at least `lag_seconds`, in which entries that don't know yet
-        still get a true refusal, and at most `grace_seconds`.
+        The agent refuses new work, lets running attempts end, waits for entries
+        to settle its bills, and closes.  It waits for at least `lag_seconds`, so
+        that entries which don't know of the stop yet still get a refusal, and
+        for at most `grace_seconds`.
         """
-        log.info("agent: {} leaves", self.incarnation)
+        log.info("agent: {} is stopping", self.incarnation)
         self._state.leaving = True
         self._intake.refuse_waiting()
         self._outbox.flush()
@@ -217,7 +220,8 @@
         while not self._may_close(self._clock() - began):
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         cut = len(self._attempts.running)
-        # What became whole while bills are settled would add another one.
+        # An attempt that completed while bills are being settled would add a bill
+        # that nobody settles.
         self._runner.cut_all("the agent stopped")
         self._outbox.flush()
         await self._settle_remaining()
@@ -225,7 +229,7 @@
         await self._close()
 
     async def _settle_remaining(self) -> None:
-        """Settle alone the bills that no entry took in the whole grace."""
+        """Settle the bills that no entry settled during the grace period."""
         remaining = tuple(self._attempts.unsettled.values())
         if not remaining or self._store is None or self._hurry.is_set():
             return
@@ -238,7 +242,7 @@
                     incarnation=self.incarnation, attempts=remaining
                 )
         except TimeoutError:
-            log.error("agent: the object API is too slow to settle bills")
+            log.error("agent: settling bills timed out: the object API is too slow")
             return
         for key in settled:
             self._attempts.settle(key=key, now=self._clock())
@@ -249,9 +253,9 @@
         return price_bill(bill=bill, cost=cost)
 
     async def kill(self) -> None:
-        """Stop at once and without a word, as a killed process does."""
+        """Stop at once and without notifying anybody, like a killed process."""
         self._mailbox.close()
-        # Each slot that is freed would otherwise start what waits.
+        # Without this, each freed slot would start a queued attempt.
         self._state.leaving = True
         self._core.slots.stop_all()
         await self._close()
@@ -268,11 +272,11 @@
         self._metrics.close()
 
     async def wait_failed(self) -> None:
-        """Wait until a part has failed too often; raise `SupervisorError`."""
+        """Raise `SupervisorError` once a part has failed too often."""
         await self._supervisor.wait_failed()
 
     def hurry(self) -> None:
-        """End a stop that is under way at once."""
+        """Finish a stop in progress without further waiting."""
         self._hurry.set()
 
     def _deliver(self, batch: MessageBatch) -> None:
@@ -309,7 +313,7 @@
         self._heartbeat.tick()
 
     def _sweep(self, now: float) -> None:
-        """Forget what is over and look after the bills."""
+        """Drop expired state and resend or reassign unsettled bills."""
         self._swept_at = now
         self._quarantine.expire(now=now)
         self._state.quarantined = self._quarantine.fingerprints
@@ -321,13 +325,16 @@
         self._mailbox.close_idle()
 
     def _renew_if_full(self) -> None:
-        """Go on as another incarnation when nothing more can be remembered."""
+        """Take a new incarnation name once the attempt records are full.
+
+        Only a new incarnation may drop the records of its predecessor.
+        """
         if not self._attempts.is_full or not self._core.is_idle:
             return
         self._state.incarnation = make_incarnation(name=self._settings.name)
         self._mailbox.incarnation = self._state.incarnation
         self._attempts.forget_records()
-        log.info("agent: goes on as {}", self._state.incarnation)
+        log.info("agent: continues as new incarnation {}", self._state.incarnation)
 
     async def _run_health_polls(self) -> None:
         while True:
@@ -369,9 +376,9 @@
     def _report_unfinished(self, cut: int) -> None:
         unsettled = len(self._attempts.unsettled)
         if cut:
-            log.error("agent: {} attempts cut at the stop", cut)
-        # A stop that was hurried isn't a planned one any more.
+            log.error("agent: {} running attempts cut off by the stop", cut)
+        # The promise covers planned stops; one that was cut short isn't planned.
         as_promised = self._hurry.is_set() or not cut
         self.invariants.check(Promise.GRACEFUL_STOP, as_promised, f"{cut} cut")
         if unsettled:
-            log.error("agent: {} bills unsettled at the stop", unsettled)
+            log.error("agent: {} bills left unsettled by the stop", unsettled)
--- a/eelgrassrack/agent/answers.py
+++ b/eelgrassrack/agent/answers.py
@@ -1,7 +1,7 @@
-"""Check that an endpoint's answer is whole and is that of its request.
+"""Check that an endpoint's answer is complete and belongs to its request.
 
-An answer is fed part by part and gives pieces.  It raises `AnswerError`
-at the first part that can't belong to a whole answer of this attempt.
+The received bytes are fed to an answer object, which hands on pieces.  It raises
+`AnswerError` as soon as the bytes can't be a complete answer to this attempt.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from ..mailbox.messages import Start
 from .errors import AnswerError
 
-# The longest event or body that is taken from an endpoint.
+# The longest event and the longest body that are accepted from an endpoint.
 MAX_EVENT_BYTES = 1_000_000
 MAX_BODY_BYTES = 16_000_000
 PIECE_BYTES = 65_536
@@ -24,14 +24,14 @@
 
 
 class Choice(msgspec.Struct, kw_only=True):
-    """What has to be known of one choice of a chunk or a whole answer."""
+    """The fields in use of one choice of a chunk or a complete answer."""
 
     index: int = 0
     finish_reason: str | None = None
 
 
 class Chunk(msgspec.Struct, kw_only=True):
-    """One event of a streamed chat."""
+    """One event of a streamed chat answer."""
 
     id: str
     choices: msgspec.Raw
@@ -39,7 +39,7 @@
 
 
 class Completion(msgspec.Struct, kw_only=True):
-    """A whole chat answer."""
+    """A complete chat answer in one JSON body."""
 
     id: str
     choices: list[Choice]
@@ -52,7 +52,7 @@
 
 
 class StreamedAnswer:
-    """A chat answer as server-sent events."""
+    """A chat answer that arrives as server-sent events."""
 
     __slots__ = ("_attempt", "_buffer", "_done", "_on_piece", "_unfinished", "_usage")
 
@@ -65,11 +65,11 @@
         self._usage: dict[str, int] | None = None
 
     def accepts(self, status: int) -> bool:
-        """Tell whether an answer of this status is fed."""
+        """Return whether the body of an answer with this status is checked."""
         return status < FIRST_ERROR_STATUS
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes."""
+        """Process the next bytes; raise `AnswerError` if they can't be right."""
         lines = (self._buffer + data).split(b"\n")
         self._buffer = lines.pop()
         if len(self._buffer) > MAX_EVENT_BYTES:
@@ -79,7 +79,7 @@
                 self._process_event(line[5:].strip())
 
     def finish(self, unused_headers: object) -> dict[str, int] | None:
-        """Return the usage, or raise when the stream isn't whole."""
+        """Return the token usage; raise `AnswerError` if the stream is incomplete."""
         if not self._done:
             raise AnswerError("the stream ended before [DONE]", cut=True)
         return self._usage
@@ -95,8 +95,8 @@
             choices = CHOICES.decode(chunk.choices)
         except msgspec.MsgspecError as error:
             raise AnswerError(f"not a chunk: {error}") from error
-        # A late answer of an earlier attempt would otherwise reach this
-        # caller; it shows by the id, which is the attempt's own.
+        # Without this check a late answer to an earlier attempt could reach this
+        # caller.  The engine uses the attempt's name as the id of its answer.
         if chunk.id != self._attempt:
             raise AnswerError("the chunk is another request's")
         if chunk.usage is not None:
@@ -113,7 +113,7 @@
 
 
 class JsonChatAnswer:
-    """A chat answer as one JSON body."""
+    """A chat answer that arrives as one JSON body."""
 
     __slots__ = ("_attempt", "_body", "_on_piece")
 
@@ -123,17 +123,20 @@
         self._body = bytearray()
 
     def accepts(self, status: int) -> bool:
-        """Tell whether an answer of this status is fed."""
+        """Return whether the body of an answer with this status is checked."""
         return status < FIRST_ERROR_STATUS
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes."""
+        """Process the next bytes; raise `AnswerError` if they can't be right."""
         self._body += data
         if len(self._body) > MAX_BODY_BYTES:
             raise AnswerError("the body is too long")
 
     def finish(self, unused_headers: object) -> dict[str, int] | None:
-        """Hand on the body and return the usage, or raise."""
+        """Hand on the body in pieces and return the token usage.
+
+        Raise `AnswerError` if the body isn't the complete answer.
+        """
         try:
             answer = COMPLETIONS.decode(self._body)
         except msgspec.MsgspecError as error:
@@ -151,7 +154,7 @@
 
 
 class PlainAnswer:
-    """Any answer of a plain service, which is passed on as it is."""
+    """An answer of a plain service, which is passed on unchanged."""
 
     __slots__ = ("_on_piece", "_size")
 
@@ -160,21 +163,21 @@
         self._size = 0
 
     def accepts(self, unused_status: int) -> bool:
-        """Tell that an answer of any status is fed."""
+        """Return true: the body of any status is passed on."""
         return True
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes."""
+        """Process the next bytes; raise `AnswerError` if they can't be right."""
         self._size += len(data)
         if self._size > MAX_BODY_BYTES:
             raise AnswerError("the body is too long")
         self._on_piece(bytes(data))
 
     def finish(self, headers: tuple[tuple[str, str], ...]) -> None:
-        """Raise when the end of the body can't be told from a cut.
+        """Raise `AnswerError` if the body may have been truncated.
 
-        Curl checks the body against its length or its last chunk.  A body
-        that ends with its connection has neither.
+        Curl checks a body against its Content-Length or its last chunk.  For a
+        body that ends when the connection closes there is nothing to check.
         """
         names = {name.lower() for name, _ in headers}
         framed = names & {"content-length", "transfer-encoding"}
@@ -186,7 +189,7 @@
 
 
 def make_answer(start: Start, on_piece: OnPiece) -> ChatAnswer | PlainAnswer:
-    """Return what checks the answer to this attempt."""
+    """Return the object that checks the answer to this attempt."""
     if start.service:
         return PlainAnswer(on_piece=on_piece)
     if start.stream:
@@ -195,7 +198,7 @@
 
 
 def read_usage(usage: dict[str, msgspec.Raw]) -> dict[str, int]:
-    """Return the two counts that are billed; raise when they are no counts."""
+    """Return the billed token counts; raise `AnswerError` if one isn't an integer."""
     try:
         return {
             name: msgspec.json.decode(usage[name], type=int)
--- a/eelgrassrack/agent/attemptqueue.py
+++ b/eelgrassrack/agent/attemptqueue.py
@@ -1,8 +1,8 @@
-"""Attempts that wait: for their turn, for newer facts, or to run alone.
+"""The queue of attempts that wait for their turn or for newer facts.
 
-The room is bounded in number and bytes.  When it is full a newcomer doesn't
-simply bounce: one of the organisation with the largest share gives way, so
-that a burst pushes out its own and not a quiet organisation's request.
+The queue is bounded in number and bytes.  When it is full, a request of the
+organisation with the largest share is displaced rather than the newest one, so
+that a burst displaces its own requests and not those of a quiet organisation.
 """
 
 import collections
@@ -14,16 +14,20 @@
 from .attempts import Attempt
 from .drainrate import DrainRate, find_retry_after
 
-# The bytes bound the agent's memory, the number the work of one turn.
+# The byte limit bounds the agent's memory, the count the work per iteration.
 MAX_WAITING = 512
 MAX_BYTES = 16_000_000
 
-# Organisations named in a load report, which goes out each second.
+# Limit for the organisations in a load report, which is sent every second.
 MAX_REPORTED_ORGANISATIONS = 8
 
 
 class AttemptQueue:
-    """All attempts that wait."""
+    """The waiting attempts.
+
+    `deferred` holds those that wait for newer facts, by name.  `drain` is the
+    measured rate of the endpoint.
+    """
 
     __slots__ = (
         "_attempts",
@@ -47,25 +51,28 @@
         self._patient_tokens_by: collections.Counter[str] = collections.Counter()
 
     def __len__(self) -> int:
-        """Return how many wait for their turn or for facts."""
+        """Return how many attempts wait for their turn or for newer facts."""
         return len(self._attempts) + len(self.deferred)
 
     @property
     def tokens(self) -> int:
-        """Return the tokens of all that wait for their turn."""
+        """Return the tokens of all attempts that wait for their turn."""
         return self._queue.tokens
 
     @property
     def is_full(self) -> bool:
-        """Tell whether somebody has to give way."""
+        """Return whether the queue is over its limits and must displace one."""
         return len(self) > MAX_WAITING or self._bytes > MAX_BYTES
 
     def find_largest(self) -> dict[str, int]:
-        """Return the organisations with most tokens waiting, with these."""
+        """Return the organisations with most waiting tokens, with the tokens."""
         return dict(self._tokens_by.most_common(MAX_REPORTED_ORGANISATIONS))
 
     def find_patient(self) -> dict[str, int]:
-        """Return of these organisations the tokens of patient requests."""
+        """Return the waiting tokens of patient requests of those organisations.
+
+        A patient request is a long job with time to spare.
+        """
         largest = self.find_largest()
         return {
             name: self._patient_tokens_by[name]
@@ -95,10 +102,10 @@
         return estimate_wait(arrival=arrival, weight=weight, backlog=backlog)
 
     def estimate_retry_after(self, *, tokens: int, window: int, now: float) -> float:
-        """Return when a refused caller should come back.
+        """Return in how many seconds a refused caller should retry.
 
-        Each refusal books the next stretch of the drain, so that those
-        refused together don't come back together.
+        Each refusal reserves the next free time at the drain rate, so that callers
+        refused together don't retry together.
         """
         rate = self.drain.find_rate(window=window)
         if not rate:
@@ -107,7 +114,7 @@
         return find_retry_after(self.tokens / rate + ahead)
 
     def add(self, attempt: Attempt, *, weight: float) -> None:
-        """Let an attempt wait for its turn."""
+        """Queue an attempt for its turn."""
         start = attempt.start
         waiting = QueuedRequest(
             key=start.attempt,
@@ -126,27 +133,27 @@
     def pop(
         self, *, now: float, may_start: Callable[[QueuedRequest], bool] | None = None
     ) -> Attempt | None:
-        """Take out the attempt whose turn it is, of those that may start."""
+        """Remove and return the next attempt that may start, or None."""
         waiting = self._queue.pop(now=now, may_start=may_start)
         return None if waiting is None else self._forget(waiting.key)
 
     def discard(self, attempt: Attempt) -> None:
-        """Take out an attempt, wherever it waits."""
+        """Remove an attempt, whatever it waits for."""
         self.deferred.pop(attempt.key, None)
         if self._queue.discard(key=attempt.key) is not None:
             self._forget(attempt.key)
 
     def expire(self, *, now: float) -> list[Attempt]:
-        """Take out and return those whose deadline has passed."""
+        """Remove and return the attempts whose deadline has passed."""
         return [self._forget(each.key) for each in self._queue.expire(now=now)]
 
     def find_displaced(self) -> Attempt | None:
-        """Return who gives way in a full room."""
+        """Return the attempt to displace from a full queue, or None."""
         waiting = self._queue.find_displaced(limit=-1)
         return None if waiting is None else self._attempts[waiting.key]
 
     def pop_deferred(self) -> list[Attempt]:
-        """Take out and return all that wait for facts."""
+        """Remove and return all attempts that wait for newer facts."""
         deferred, self.deferred = self.deferred, {}
         return list(deferred.values())
 
--- a/eelgrassrack/agent/attempts.py
+++ b/eelgrassrack/agent/attempts.py
@@ -1,7 +1,7 @@
-"""The table of all attempts an agent was given or asked about.
+"""The table of all attempts that the agent was given or asked about.
 
-An attempt is kept while it waits and runs and until its bill is settled, so
-that its answer can be sent again.  After that a record of it remains.
+An attempt is kept while it is queued or running and until its bill is settled,
+so that its answer can be sent again.  After that only a record of it remains.
 """
 
 import dataclasses
@@ -10,26 +10,26 @@
 from ..mailbox.messages import Ended, NotStarted, Refusal, Start
 from .records import AttemptRecord, AttemptRecords, ExpiredRecord
 
-# Bytes of answers kept for entries that may ask for them again.
+# Bytes of ended answers kept in case an entry asks for their pieces again.
 MAX_KEPT_BYTES = 8_000_000
 
-# An answer that wasn't whole is kept as long as an entry may need to notice
-# that a parcel was lost.
+# An attempt without a bill is kept for as long as an entry may need to detect
+# that a message batch was lost.
 FAILED_RETENTION_SECONDS = 30.0
 
-# A whole answer is kept for so long after its end at least, though its bill
-# may be settled sooner.  The entry settles the bill of an answer of which it
-# still lacks pieces; forgotten at once, these could never be sent again, and
-# the caller would wait until its deadline for an answer that was there.
-# Entries ask for missing pieces four times a second.
+# A billed attempt is kept for at least this long after its end, even if its bill
+# is settled sooner.  An entry may settle the bill while it still lacks pieces of
+# the answer.  If these were dropped at once they could never be sent again, and
+# the caller would wait until its deadline for an answer that existed.  Entries
+# ask for missing pieces four times a second.
 BILLED_RETENTION_SECONDS = 5.0
 
-# What may not be repeated runs on for so long after its caller's deadline.
+# How long a non-repeatable attempt may run on after its caller's deadline.
 OVERTIME_SECONDS = 120.0
 
 
 class Phase(enum.Enum):
-    """How far an attempt has come."""
+    """The state of an attempt that is still kept."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -38,15 +38,22 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Attempt:
-    """One attempt and what is needed to run and to repeat it.
-
-    `readers` are the mailboxes that get the pieces: that of the entry that
-    sent it, and of others whose callers sent the same request again.
-    `owner` is the mailbox of the entry that bills it, `incarnation` that
-    entry's and `ledger` the ledger that gets the bill.
-    `settled` tells that nobody waits for a bill of it any more, `holders`
-    which ledgers were given the bill before `ledger`.  `is_suspected`
-    tells that the endpoint died while it ran.
+    """One attempt, with all that is needed to run it and to resend its answer.
+
+    `readers` are the mailboxes that receive the pieces: that of the entry which
+    sent the attempt, and those of entries whose callers resent the request.
+    `owner` is the mailbox of the entry that bills the attempt, `incarnation` is
+    the incarnation of that entry, and `ledger` is the ledger that gets the bill.
+    `holders` are the ledgers that were given the bill before `ledger`.
+    `settled` is true if there is no bill or it is in a ledger.  `is_suspected`
+    is true if the endpoint crashed while the attempt ran.  `pieces` is the
+    answer so far and `size` its length in bytes.
+
+    Times are seconds of the agent's clock.  `last_piece_at` is when the last
+    piece arrived, or the start if there is none yet.  `deferred_until` limits
+    how long the attempt waits for newer facts, zero if it never had to wait.
+    `bill_sent_at` is when `BillKeeper` last sent the bill to the current ledger,
+    zero if it hasn't done so yet.
     """
 
     start: Start
@@ -76,23 +83,27 @@
 
     @property
     def cut_at(self) -> float:
-        """Return when a running attempt is cut at the latest.
+        """Return the time at which a running attempt is cut off.
 
-        Cutting one that may not be repeated at its caller's deadline would
-        leave nobody able to say what it did; a resend asks for its answer.
+        A non-repeatable attempt runs on after its caller's deadline.  Cutting it
+        would leave its effect unknown, and a resent request asks for its answer.
         """
         overtime = 0.0 if self.start.repeatable else OVERTIME_SECONDS
         return self.deadline + overtime
 
     def may_be_forgotten(self, now: float) -> bool:
-        """Tell whether no entry can lack a piece of this ended attempt."""
+        """Return whether no entry can still lack a piece of this ended attempt."""
         is_billed = self.ended.bill is not None
         kept = BILLED_RETENTION_SECONDS if is_billed else FAILED_RETENTION_SECONDS
         return now - self.ended_at > kept
 
 
 class Attempts:
-    """All attempts by name."""
+    """All attempts by name.
+
+    `live` holds every attempt that is kept, `running` those that run, and
+    `unsettled` those that have ended with a bill that isn't settled.
+    """
 
     __slots__ = ("_kept_bytes", "_records", "live", "running", "unsettled")
 
@@ -105,26 +116,26 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether nothing more can be remembered."""
+        """Return whether the records have no room for another attempt."""
         return self._records.is_full
 
     def find(self, *, key: str) -> Attempt | AttemptRecord | ExpiredRecord | None:
-        """Return what is known of an attempt."""
+        """Return the attempt, its record, or None if it is unknown."""
         return self.live.get(key) or self._records.find(key=key)
 
     def find_by_phase(self, phase: Phase) -> list[Attempt]:
-        """Return the attempts that have come this far."""
+        """Return the live attempts in this phase, oldest first."""
         return [each for each in self.live.values() if each.phase is phase]
 
     def add(self, attempt: Attempt) -> bool:
-        """Take in a queued attempt; return false when its name is known."""
+        """Add a queued attempt; return false if its name was used before."""
         if self.find(key=attempt.key) is not None:
             return False
         self.live[attempt.key] = attempt
         return True
 
     def add_tombstone(self, *, key: str, refusal: Refusal, now: float) -> NotStarted:
-        """Vow that an attempt never starts, and return what to say of it.
+        """Record that an attempt will never start; return the message that says so.
 
         The attempt must be queued or unknown.
         """
@@ -144,7 +155,7 @@
         return True
 
     def keep_piece(self, attempt: Attempt, piece: bytes) -> int:
-        """Keep a piece and return its number."""
+        """Store a piece of the answer and return its number."""
         attempt.pieces.append(piece)
         attempt.size += len(piece)
         self._kept_bytes += len(piece)
@@ -162,7 +173,7 @@
         self._evict_pieces()
 
     def settle(self, *, key: str, now: float) -> None:
-        """Note that the bill of an answer is in the ledger."""
+        """Note that the bill of an attempt is in a ledger."""
         attempt = self.live.get(key)
         if attempt is None or attempt.phase is not Phase.ENDED:
             return
@@ -172,7 +183,7 @@
             self._forget(attempt, now)
 
     def expire(self, *, now: float) -> None:
-        """Forget what nobody may ask for any more."""
+        """Drop attempts and records that nobody can ask for any more."""
         old = [
             attempt
             for attempt in self.find_by_phase(Phase.ENDED)
@@ -205,10 +216,10 @@
         attempt.pieces.clear()
 
     def _evict_pieces(self) -> None:
-        """Drop the pieces of the oldest ended answers when there are too many.
+        """Drop the pieces of the oldest ended answers when they take too much space.
 
-        Their bills stay.  An entry that still lacks a piece and asks for it
-        is told that the answer is cut.
+        Their bills are kept.  An entry that asks for a dropped piece is told that
+        the answer was cut off.
         """
         if self._kept_bytes <= MAX_KEPT_BYTES:
             return
--- a/eelgrassrack/agent/bills.py
+++ b/eelgrassrack/agent/bills.py
@@ -1,4 +1,4 @@
-"""Make bills of what attempts used."""
+"""Compute the bills of attempts."""
 
 from ..mailbox.messages import Bill
 from .attempts import Attempt
@@ -6,17 +6,17 @@
 
 
 def bill_completed(attempt: Attempt, usage: Usage | None) -> Bill:
-    """Return the bill of a whole answer.
+    """Return the bill of an attempt with a complete answer.
 
-    An engine that doesn't tell what it used is billed for the pieces of a
-    stream, which are its tokens, or for what the entry expected; a plain
-    service by the request.
+    A plain service is billed per request.  If an engine doesn't report its token
+    usage, a stream is billed by its pieces, which hold one token each, and any
+    other answer by the number of tokens that the entry expected.
     """
     if attempt.start.service:
         return make_bill(attempt)
     if usage is None:
-        made = len(attempt.pieces) if attempt.start.stream else attempt.start.tokens
-        return make_bill(attempt, completion_tokens=made)
+        tokens = len(attempt.pieces) if attempt.start.stream else attempt.start.tokens
+        return make_bill(attempt, completion_tokens=tokens)
     return make_bill(
         attempt,
         prompt_tokens=usage.prompt_tokens,
@@ -25,7 +25,7 @@
 
 
 def bill_cancelled(attempt: Attempt) -> Bill | None:
-    """Return the bill of a cancelled answer, for the tokens made of it."""
+    """Return the bill of a cancelled attempt, for the tokens generated so far."""
     if not attempt.pieces or attempt.start.service:
         return None
     return make_bill(attempt, completion_tokens=len(attempt.pieces))
--- a/eelgrassrack/agent/core.py
+++ b/eelgrassrack/agent/core.py
@@ -1,4 +1,4 @@
-"""What the parts of an agent that deal with attempts share."""
+"""The state shared by the parts of an agent that handle attempts."""
 
 import dataclasses
 from collections.abc import Callable
@@ -18,9 +18,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Core:
-    """The state of all attempts at one endpoint.
+    """The attempts at one endpoint and the limits that apply to them.
 
-    `detect_pause` is called before each judgement, to find out about a pause.
+    `detect_pause` is called before each admission check, because facts from
+    before a pause of this process may be out of date.  `parked` is the attempt
+    that must run alone and waits until all slots are free.
     """
 
     state: AgentState
@@ -37,7 +39,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing runs or waits."""
+        """Return whether no attempt is queued or running."""
         return not (len(self.slots) or len(self.queue) or self.parked)
 
     def check_admission(self, attempt: Attempt) -> AdmissionDecision:
@@ -51,7 +53,7 @@
         )
 
     def refuse(self, attempt: Attempt, refusal: Refusal) -> None:
-        """Vow that a queued attempt never starts."""
+        """Refuse a queued attempt, which then never starts."""
         queued = attempt.phase is Phase.QUEUED
         if not self.invariants.check(Promise.NOT_RUN, queued, attempt.key):
             return
@@ -66,7 +68,7 @@
         self.relay.refuse(attempt, refusal, retry_after=retry_after, now=now)
 
     def apply_facts(self, facts: Facts) -> bool:
-        """Take over facts; return whether they are newer than those in force."""
+        """Apply facts; return whether they are newer than the current ones."""
         known = self.state.facts
         merged = merge_facts(known, facts)
         self.invariants.check(
@@ -79,10 +81,10 @@
         return known is None or merged.revision > known.revision
 
     def confirm_facts(self, *, revision: int, since: int) -> bool:
-        """Take it that the facts hold up to a revision.
+        """Note that the facts since revision `since` still hold at `revision`.
 
-        Return false if the facts known here are older than `since`: then
-        something has changed that isn't known.
+        Return false if the current facts are older than `since`; they then lack a
+        change.
         """
         facts = self.state.facts
         if facts is None or facts.revision < since:
@@ -92,7 +94,7 @@
         return True
 
     def collapse(self, reason: CollapseReason) -> None:
-        """Close the window to what a cold endpoint bears."""
+        """Shrink the concurrency window to what a cold endpoint can handle."""
         self.window.collapse(now=self.clock(), reason=reason)
 
     def make_load(self) -> Load:
@@ -127,7 +129,7 @@
     invariants: Invariants,
     detect_pause: Callable[[], None] = lambda: None,
 ) -> Core:
-    """Return the state of an agent that has just started."""
+    """Return the core of an agent that has just started."""
     return Core(
         state=state,
         attempts=attempts,
--- a/eelgrassrack/agent/crashes.py
+++ b/eelgrassrack/agent/crashes.py
@@ -1,8 +1,8 @@
-"""Tell a crash of the endpoint from a connection that broke alone.
+"""Distinguish a crash of the endpoint from a single broken connection.
 
-When an endpoint dies all its connections break, one after the other, and
-whatever ran is suspected of having killed it.  If one connection broke
-while the endpoint lives on, only that answer is lost and nobody is.
+When an endpoint crashes all its connections break one after the other, and every
+attempt that ran is suspected of being the cause.  If a connection breaks while
+the endpoint stays up, only that answer is lost and no attempt is suspected.
 """
 
 import asyncio
@@ -15,12 +15,12 @@
 
 log = logbook.Logger("crashes")
 
-# Tells whether the endpoint is up and hasn't restarted since a time.
+# Returns whether the endpoint is up and hasn't restarted since the given time.
 IsAlive = Callable[[float], Awaitable[bool]]
 
 
 class CrashDetector:
-    """Probe the endpoint after a break, once for all that broke with it."""
+    """Probe the endpoint after a broken connection, once for all that broke."""
 
     __slots__ = (
         "_announce",
@@ -48,9 +48,10 @@
         self._probe: asyncio.Task[bool] | None = None
 
     async def has_crashed(self, attempt: Attempt) -> bool:
-        """Tell whether the endpoint died under a broken attempt.
+        """Return whether the endpoint crashed while this attempt ran.
 
-        The first break notes what ran beside it, before the others end.
+        The call for the first broken connection collects the attempts that ran at
+        the same time, before these end as well.
         """
         if self._probe is None:
             suspects = [
@@ -81,10 +82,10 @@
         fingerprints = {start.fingerprint for start in starts if start.fingerprint}
         if not fingerprints:
             return
-        log.warning("crashes: endpoint died, {} attempts ran", len(starts))
-        # A request that just happened to be the only one isn't proved
-        # guilty: the endpoint may have died by itself.  Only one that runs
-        # alone because it was suspected before is.
+        log.warning("crashes: endpoint crashed with {} running attempts", len(starts))
+        # A request that happened to be the only one running isn't proven to be the
+        # cause, because the endpoint may have crashed by itself.  Only a request
+        # that ran alone because it was already suspected is.
         alone = any(start.alone for start in starts)
         self._announce(
             Crash(
--- a/eelgrassrack/agent/custody.py
+++ b/eelgrassrack/agent/custody.py
@@ -1,10 +1,10 @@
-"""Keep bills until an entry has them in its ledger.
+"""Keep each bill until an entry has written it to its ledger.
 
-The entry that started an attempt gets the bill with its end.  When it is
-lost first, its bills are handed to another one, with the chain of ledgers
-that may hold them already.  The same is done when the entry lives but has
-closed that ledger.  What nobody settles is sent again: the bill or the
-answer to it may have been lost.
+The entry that started an attempt receives the bill with the attempt's end.  If
+that entry is lost before it settles the bill, or has closed the ledger, the bill
+is reassigned to another ledger, together with the chain of ledgers that may
+already hold it.  An unsettled bill is sent again, since the bill or the message
+that settles it may have been lost.
 """
 
 import itertools
@@ -20,15 +20,16 @@
 
 log = logbook.Logger("custody")
 
-# An entry flushes its ledger each five seconds; the object API may be away.
+# An entry flushes its ledger every five seconds, or later if the object API is
+# unavailable.
 RESEND_SECONDS = 12.0
 
-# An entry flushes a closed ledger to its end too.  Only a bill that it has
-# not settled long after is handed to the next ledger, which costs the
-# sealing and reading of the old one.
+# An entry flushes a closed ledger completely, too.  A bill is reassigned to the
+# next ledger only if it stays unsettled for long after that, because the old
+# ledger must then be sealed and read.
 CLOSED_LEDGER_SECONDS = 30.0
 
-# Bills in one message, which then has about 30 kB.
+# The largest number of bills in a message, which then takes about 30 kB.
 MAX_BILLS = 200
 
 Post = Callable[[str, AnyMessage], None]
@@ -36,7 +37,7 @@
 
 
 class BillKeeper:
-    """Look after the bills that aren't settled."""
+    """Resend unsettled bills and reassign those of lost or closed ledgers."""
 
     __slots__ = ("_attempts", "_entries", "_post", "_relay")
 
@@ -49,7 +50,7 @@
         self._post = post
 
     def tick(self, *, now: float) -> None:
-        """Hand over the bills of lost ledgers and send overdue ones again."""
+        """Reassign the bills of lost or closed ledgers and resend overdue ones."""
         unsettled = list(self._attempts.unsettled.values())
         for attempt in unsettled:
             if self._needs_reassignment(attempt, now):
@@ -75,7 +76,7 @@
         successor = self._entries.find_successor(ledger=attempt.ledger, now=now)
         if successor is None:
             return
-        log.info("custody: {} handed to {}", attempt.key, successor.address)
+        log.info("custody: bill of {} reassigned to {}", attempt.key, successor.address)
         reassign_bill(attempt, successor)
 
     def _send(self, attempts: list[Attempt], now: float) -> None:
@@ -94,7 +95,7 @@
 
 
 def reassign_bill(attempt: Attempt, successor: EntryRecord) -> None:
-    """Give an attempt's bill to another entry or ledger."""
+    """Assign an attempt's bill to another entry or ledger."""
     attempt.holders = (*attempt.holders, attempt.ledger)
     attempt.owner = successor.address
     attempt.incarnation = successor.incarnation
@@ -103,17 +104,17 @@
 
 
 def is_due(attempt: Attempt, now: float) -> bool:
-    """Tell whether a bill has to be sent (again)."""
+    """Return whether a bill has to be sent or resent now."""
     if attempt.holders and not attempt.bill_sent_at:
         return True
     return now - max(attempt.bill_sent_at, attempt.ended_at) >= RESEND_SECONDS
 
 
 def find_route(attempt: Attempt) -> BillRoute:
-    """Return where an attempt's bill goes and where it was before."""
+    """Return the entry, the ledger and the earlier ledgers of an attempt's bill."""
     return attempt.owner, attempt.ledger, attempt.holders
 
 
 def make_reassigned_bill(attempt: Attempt) -> Bill:
-    """Return the bill as it is for the ledger that gets it now."""
+    """Return the bill with the name of its new ledger."""
     return msgspec.structs.replace(attempt.ended.bill, ledger=attempt.ledger)
--- a/eelgrassrack/agent/daemon.py
+++ b/eelgrassrack/agent/daemon.py
@@ -1,4 +1,4 @@
-"""The agent as a process of its own."""
+"""The agent as a separate process."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 async def serve(*, settings: AgentSettings) -> int:
-    """Run an agent on this loop until it is told to stop."""
+    """Run an agent on the current event loop until a signal stops it."""
     instances = HttpInstanceList(url=settings.instances_url)
     store = None
     if settings.objects_url:
--- a/eelgrassrack/agent/digests.py
+++ b/eelgrassrack/agent/digests.py
@@ -1,6 +1,7 @@
-"""A compact set of names: eight bytes each, in order.
+"""A compact set of names that stores a sorted 64-bit digest of each.
 
-It may take a name for another one's (once in billions), never miss one.
+A digest collision makes it report a name that was never added, about once in
+billions.  It never misses a name that was added.
 """
 
 import array
@@ -10,7 +11,7 @@
 
 
 class Digests:
-    """The 64-bit digests of names."""
+    """A set of names, stored as 64-bit digests."""
 
     __slots__ = ("_sorted",)
 
@@ -18,17 +19,17 @@
         self._sorted = array.array("Q")
 
     def __len__(self) -> int:
-        """Return how many names are held."""
+        """Return the number of names in the set."""
         return len(self._sorted)
 
     def __contains__(self, name: str) -> bool:
-        """Tell whether a name is held."""
+        """Return whether a name is in the set."""
         digest = digest_name(name)
         index = bisect.bisect_left(self._sorted, digest)
         return index < len(self._sorted) and self._sorted[index] == digest
 
     def add(self, name: str) -> None:
-        """Hold a name."""
+        """Add a name to the set."""
         if name not in self:
             bisect.insort(self._sorted, digest_name(name))
 
--- a/eelgrassrack/agent/drainrate.py
+++ b/eelgrassrack/agent/drainrate.py
@@ -1,24 +1,26 @@
-"""How fast an endpoint works off its queue.
+"""The rate at which an endpoint works off its queue.
 
-The speed is that of one slot of the window, in tokens a second, averaged
-over the last answers.  It holds at any load, while a count of tokens by
-time would call an idle endpoint slow and refuse the first burst.
+The rate is measured per slot of the concurrency window, in tokens per second,
+and averaged over the latest answers.  It doesn't depend on the load.  Counting
+tokens per second of the whole endpoint would make an idle one look slow, and the
+first burst would be refused.
 """
 
-# Weight of one more answer; the average spans about the last ten.
+# Weight of a new answer in the moving average, which spans about ten answers.
 AVERAGE_WEIGHT = 0.2
 
-# Without a floor an answer of no measurable duration gives a speed without
-# bound.
+# Without a lower bound an answer of no measurable duration would give an
+# unbounded rate.
 MIN_ANSWER_SECONDS = 0.001
 
-# A caller that is told to come back at once only adds to the overload.
+# Bounds of the Retry-After of refused callers.  A caller that is told to retry at
+# once only adds to the overload.
 MIN_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 60.0
 
 
 class DrainRate:
-    """The measured speed of a slot."""
+    """The moving average of the rate of one slot, `speed`, in tokens per second."""
 
     __slots__ = ("speed",)
 
@@ -26,15 +28,15 @@
         self.speed = 0.0
 
     def observe(self, *, tokens: int, seconds: float) -> None:
-        """Take one whole answer into the average."""
+        """Add one complete answer to the average."""
         speed = tokens / max(seconds, MIN_ANSWER_SECONDS)
         self.speed += AVERAGE_WEIGHT * (speed - self.speed) if self.speed else speed
 
     def find_rate(self, *, window: int) -> float:
-        """Return the tokens a second of all slots, zero when not known."""
+        """Return the tokens per second of all slots, zero if not measured yet."""
         return self.speed * window
 
 
 def find_retry_after(wait: float) -> float:
-    """Return when a refused caller should come back."""
+    """Return in how many seconds a refused caller should retry."""
     return min(max(wait, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
--- a/eelgrassrack/agent/engine.py
+++ b/eelgrassrack/agent/engine.py
@@ -1,4 +1,4 @@
-"""HTTP to the one endpoint of an agent, by tornado's curl client."""
+"""HTTP requests to the agent's endpoint, through tornado's curl client."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,15 +16,15 @@
 MAX_EXCHANGES = 512
 CONNECT_SECONDS = 2.0
 
-# The runner ends an attempt at its deadline; curl's own limit only catches
-# an exchange that the runner lost sight of.
+# Added to curl's own timeout.  The runner ends an attempt at its deadline; curl's
+# timeout is only a safety net for an exchange that the runner no longer tracks.
 CURL_EXTRA_SECONDS = 5.0
 
 BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 
 
 class Engine(Protocol):
-    """What a runner needs of the endpoint."""
+    """The endpoint as a runner uses it."""
 
     async def run(
         self,
@@ -35,15 +35,16 @@
         on_begun: Callable[[], bool],
         on_piece: Callable[[bytes], None],
     ) -> Outcome:
-        """Send one request and hand on its answer.
+        """Send one request, pass on its answer and return the outcome.
 
-        `on_begun` is called once before the first byte is sent; when it
-        returns false nothing is sent.
+        `timeout` is in seconds.  `on_begun` is called once, before the first byte
+        is sent; if it returns false, nothing is sent.  `on_piece` is called with
+        each piece of the answer.
         """
 
 
 class HttpEngine:
-    """The endpoint, reached by HTTP."""
+    """An endpoint that is reached over HTTP."""
 
     __slots__ = ("_client", "_url")
 
@@ -64,7 +65,7 @@
         on_begun: Callable[[], bool],
         on_piece: Callable[[bytes], None],
     ) -> Outcome:
-        """Send one request and hand on its answer in pieces."""
+        """Send one request, pass on its answer and return the outcome."""
         transfer = Transfer(
             exchange=exchange, answer=make_answer(start, on_piece), on_begun=on_begun
         )
--- a/eelgrassrack/agent/entries.py
+++ b/eelgrassrack/agent/entries.py
@@ -1,9 +1,9 @@
-"""The entries that an agent knows: which are live and which are its parents.
+"""The entries known to an agent, and which of them are live and its parents.
 
-They come from the instance list, which lags, and from the entries' own
-messages.  An entry counts as lost when another incarnation speaks from its
-address, when the list has dropped it, or when it is silent though it was
-asked for a sign of life.
+The agent learns of entries from the instance list, which lags, and from their
+own messages.  An entry is lost if another incarnation sends from its address, if
+it is no longer on the instance list, or if it stays silent although the agent
+asked it for a heartbeat.
 """
 
 import dataclasses
@@ -13,24 +13,29 @@
 
 from ..store.instances import Instance, Role
 
-# Parents feed an agent facts and get its heartbeat.  With three, one of
-# them lost and one paused still leave one; at the target size an entry then
-# hears 87 heartbeats a second, within the 500 messages it can afford.
+# Parents send an agent its facts and receive its heartbeats.  With three parents
+# one remains if one is lost and another is paused.  At the target size an entry
+# then receives 87 heartbeats per second, within the 500 messages per second that
+# it can process.
 PARENT_COUNT = 3
 
-# An entry that spoke within this time gets heartbeats too.
+# An entry that sent a message within this time receives heartbeats, too.
 ACTIVE_SECONDS = 5.0
 
-# An entry that was asked and stays silent is lost after this long.  Handing
-# its bills over needlessly costs a few store calls and is no fault: its
-# ledger is sealed first.
+# An entry is asked for a heartbeat after the first time without a message and is
+# lost after the second.  Reassigning its bills needlessly costs a few store calls
+# but is safe, because its ledger is sealed first.
 ASK_AFTER_SECONDS = 3.0
 SILENT_SECONDS = 10.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class EntryRecord:
-    """One entry; `incarnation` and `ledger` are empty until it told them."""
+    """One entry.
+
+    `incarnation` and `ledger` are empty until the entry has sent them.  `delisted`
+    is true if the instance list had the entry and no longer does.
+    """
 
     address: str
     last_seen_at: float
@@ -42,17 +47,17 @@
     leaving: bool = False
 
     def is_live(self, now: float) -> bool:
-        """Tell whether it is worth talking to."""
+        """Return whether the entry can be expected to respond."""
         return not self.delisted and now - self.last_seen_at < SILENT_SECONDS
 
 
 class EntryDirectory:
-    """All known entries by mailbox address."""
+    """All known entries, by mailbox address."""
 
     __slots__ = ("_by_address", "_name")
 
     def __init__(self, *, name: str) -> None:
-        """Take the name of the endpoint, by which parents are chosen."""
+        """Create an empty directory; `name` is the endpoint's, used to pick parents."""
         self._name = name
         self._by_address: dict[str, EntryRecord] = {}
 
@@ -61,7 +66,7 @@
         return len(self._by_address)
 
     def apply_listing(self, instances: Iterable[Instance], *, now: float) -> None:
-        """Follow the instance list."""
+        """Apply the current instance list."""
         listed = {i.mailbox: i for i in instances if i.role is Role.ENTRY}
         for address, instance in listed.items():
             entry = self._find_or_add(address, now)
@@ -75,7 +80,7 @@
                 entry.listed, entry.delisted = False, True
 
     def note_message(self, *, address: str, incarnation: str, now: float) -> None:
-        """Note that an entry spoke."""
+        """Note that an entry sent a message."""
         entry = self._find_or_add(address, now)
         if entry.incarnation != incarnation:
             entry.ledger = ""
@@ -84,28 +89,27 @@
         entry.delisted = False
 
     def note_presence(self, *, address: str, ledger: str, leaving: bool) -> None:
-        """Note what an entry that was heard says of itself."""
+        """Note the ledger and the state that a known entry reports."""
         entry = self._by_address[address]
         entry.ledger = ledger
         entry.leaving = leaving
 
     def note_pause(self, *, now: float) -> None:
-        """Start all silences anew after a pause of this agent's own.
+        """Restart the silence timers of all entries after a pause of this agent.
 
-        What the entries said in the meantime wasn't heard.
+        The agent received no messages during the pause.
         """
         for entry in self._by_address.values():
             entry.last_seen_at = max(entry.last_seen_at, now)
 
     def find_all(self) -> list[str]:
-        """Return the addresses of all entries that aren't dropped."""
+        """Return the addresses of all entries that aren't delisted."""
         return [e.address for e in self._by_address.values() if not e.delisted]
 
     def find_parents(self, *, now: float) -> list[str]:
-        """Return the addresses of the parents, the first choice first.
+        """Return the addresses of the parents, the most preferred first.
 
-        Entries that are silent or leaving are parents only in want of
-        better ones.
+        Silent or leaving entries are chosen only if there are too few others.
         """
         ranked = sorted(
             (e for e in self._by_address.values() if not e.delisted),
@@ -116,11 +120,12 @@
     def find_heartbeat_receivers(
         self, *, served: Iterable[str], now: float
     ) -> list[str]:
-        """Return who gets heartbeats.
+        """Return the addresses of the entries that receive heartbeats.
 
-        These are the parents, who spoke lately, and the addresses `served`
-        that have work here.  An entry says nothing while a long answer
-        runs; without heartbeats it would give the answer up as lost.
+        These are the parents, the entries that sent a message recently, and the
+        entries at the addresses `served`, which have attempts here.  An entry
+        sends nothing during a long answer; without heartbeats it would give up
+        the answer as lost.
         """
         spoke = (
             entry.address
@@ -130,9 +135,9 @@
         return list(dict.fromkeys([*self.find_parents(now=now), *spoke, *served]))
 
     def find_successor(self, *, ledger: str, now: float) -> EntryRecord | None:
-        """Return the entry to take over the bills of a ledger.
+        """Return the entry that takes over the bills of a ledger, or None.
 
-        All agents choose the same one, so that it reads the old ledger
+        All agents choose the same entry, so that it reads the old ledger only
         once for all of them.
         """
         live = [
@@ -147,24 +152,24 @@
         )
 
     def is_lost(self, *, address: str, incarnation: str, now: float) -> bool:
-        """Tell whether an incarnation of an entry is gone."""
+        """Return whether an incarnation of an entry is lost."""
         entry = self._by_address.get(address)
         if entry is None or not entry.is_live(now):
             return True
         return entry.incarnation != incarnation
 
     def has_other_ledger(self, *, address: str, ledger: str) -> bool:
-        """Tell whether an entry now has another ledger than this one."""
+        """Return whether an entry now uses another ledger than this one."""
         entry = self._by_address.get(address)
         return entry is not None and entry.ledger not in {"", ledger}
 
     def is_overdue(self, *, address: str, now: float) -> bool:
-        """Tell whether an entry should be asked for a sign of life."""
+        """Return whether an entry should be asked for a heartbeat."""
         entry = self._by_address.get(address)
         return entry is not None and now - entry.last_seen_at >= ASK_AFTER_SECONDS
 
     def forget_lost(self, *, needed: set[str], now: float) -> None:
-        """Forget entries that are gone, unless bills name them."""
+        """Remove lost entries, except those whose addresses are still `needed`."""
         for address, entry in list(self._by_address.items()):
             if not entry.listed and not entry.is_live(now) and address not in needed:
                 del self._by_address[address]
--- a/eelgrassrack/agent/errors.py
+++ b/eelgrassrack/agent/errors.py
@@ -8,9 +8,9 @@
 
 
 class AnswerError(AgentError):
-    """An endpoint's answer is not what was asked for.
+    """An endpoint's answer is incomplete or isn't an answer to the request.
 
-    `cut` tells that it ended before it was whole.
+    `cut` is true if the answer ended before it was complete.
     """
 
     def __init__(self, reason: str, *, cut: bool = False) -> None:
--- a/eelgrassrack/agent/health.py
+++ b/eelgrassrack/agent/health.py
@@ -1,8 +1,8 @@
-"""Watch the endpoint's health: is it up, cold, or another one than before.
+"""Poll the endpoint's health: whether it is up, is cold, or has restarted.
 
-An engine that restarts between two polls looks healthy in both.  It shows
-by its incarnation, if it reports one; without looking at that the agent
-would send a cold engine all that a warm one bears.
+An engine that restarts between two polls looks healthy in both.  The restart
+shows in its incarnation, if the engine reports one.  If it went unnoticed, the
+agent would send a cold engine the full load of a warm one.
 """
 
 from collections.abc import Callable
@@ -25,18 +25,21 @@
 
 
 class HealthReport(msgspec.Struct, kw_only=True):
-    """What an engine says of itself; a plain service may say nothing."""
+    """The health report of an engine; that of a plain service may be empty."""
 
     incarnation: str = ""
     cold: bool = False
 
 
 class EndpointDown(msgspec.Struct, kw_only=True, frozen=True):
-    """The endpoint didn't answer, or only to say that it is down."""
+    """The endpoint didn't answer, or answered with a server error."""
 
 
 class Health:
-    """The endpoint's health as last polled."""
+    """The endpoint's health at the last poll.
+
+    `restarted_at` is when the last restart was noticed, in seconds of the clock.
+    """
 
     __slots__ = (
         "_client",
@@ -70,16 +73,16 @@
         self._client.close()
 
     async def poll(self) -> None:
-        """Ask the endpoint and note what changed."""
+        """Poll the endpoint once and note what changed."""
         self.note(await self._fetch_report())
 
     async def is_alive(self, since: float) -> bool:
-        """Tell whether the endpoint is up and hasn't restarted since then."""
+        """Return whether the endpoint is up and hasn't restarted since a time."""
         await self.poll()
         return self.is_up and self.restarted_at < since
 
     def note(self, report: HealthReport | EndpointDown) -> None:
-        """Take over a report and collapse the window where it must."""
+        """Apply a report; call `on_collapse` after a restart or at a cold start."""
         match report:
             case EndpointDown():
                 self._note_down()
@@ -93,9 +96,9 @@
 
     def _note_up(self, report: HealthReport) -> None:
         was_up, self.is_up = self.is_up, True
-        # An engine under full load may answer a poll too late and is no other
-        # for that.  Closing its window then would cost what it bears, so one
-        # that names the same incarnation as before hasn't restarted.
+        # An engine under full load may miss a poll without having restarted.
+        # Shrinking its window would then waste capacity, so an engine that
+        # reports the same incarnation as before counts as not restarted.
         is_same = bool(report.incarnation) and report.incarnation == self.incarnation
         restarted = self.incarnation not in {"", report.incarnation}
         turned_cold = report.cold and not self.is_cold
@@ -126,13 +129,12 @@
         try:
             return msgspec.json.decode(response.body, type=HealthReport)
         except msgspec.MsgspecError:
-            # A plain service need not know this path; it answered, so it
-            # is up.
+            # A plain service needn't support this path.  It answered, so it is up.
             return HealthReport()
 
 
 def connect_directly(curl) -> None:
-    """Take a fresh connection and no proxy."""
+    """Make curl use a new connection and no proxy."""
     curl.setopt(curl.FRESH_CONNECT, 1)
     curl.setopt(curl.FORBID_REUSE, 1)
     curl.setopt(curl.NOPROXY, "*")
--- a/eelgrassrack/agent/heartbeat.py
+++ b/eelgrassrack/agent/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats: the agent's load report, to the entries it concerns."""
+"""Heartbeats, which carry the agent's load report to entries."""
 
 import itertools
 
@@ -8,12 +8,12 @@
 from .entries import EntryDirectory
 from .outbox import Post
 
-# An entry takes three missed beats for a sign that the agent is gone.
+# After three missed heartbeats an entry considers the agent lost.
 HEARTBEAT_SECONDS = 1.0
 
 
 class Heartbeat:
-    """Send the load report each second and when it changes much."""
+    """Send the load report every second and after important changes."""
 
     __slots__ = ("_core", "_entries", "_metrics", "_post", "_sent_at")
 
@@ -46,6 +46,6 @@
         self._metrics.gauge(AGENT_REVISION, load.revision)
 
     def announce(self, message: AnyMessage) -> None:
-        """Tell all known entries something."""
+        """Send a message to all known entries."""
         for address in self._entries.find_all():
             self._post(address, message)
--- a/eelgrassrack/agent/inbox.py
+++ b/eelgrassrack/agent/inbox.py
@@ -1,4 +1,4 @@
-"""Take what entries send and give it to the part it is for."""
+"""Dispatch the messages from entries to the parts that handle them."""
 
 from collections.abc import Callable
 
@@ -27,7 +27,7 @@
 
 
 class Inbox:
-    """Sort messages by what they ask."""
+    """Dispatch each message by its type."""
 
     __slots__ = (
         "_core",
@@ -54,7 +54,7 @@
         post: Post,
         on_new_revision: Callable[[], None],
     ) -> None:
-        """Call `on_new_revision` when a newer revision is in force."""
+        """Create an inbox that calls `on_new_revision` after a newer revision."""
         self._core = core
         self._entries = entries
         self._intake = intake
@@ -66,7 +66,7 @@
         self._on_new_revision = on_new_revision
 
     def deliver(self, batch: MessageBatch) -> None:
-        """Take what an entry sent."""
+        """Handle a batch of messages from an entry."""
         self._pause.detect_pause()
         self._entries.note_message(
             address=batch.address,
@@ -119,7 +119,7 @@
         self._release_deferred()
 
     def _release_deferred(self) -> None:
-        """Judge again what waits for facts, unless those known are in doubt."""
+        """Check deferred attempts again, unless the facts are unconfirmed."""
         if self._core.state.confirmed:
             self._intake.release_deferred()
 
--- a/eelgrassrack/agent/intake.py
+++ b/eelgrassrack/agent/intake.py
@@ -1,4 +1,4 @@
-"""Take attempts in, queue or refuse them, and choose whose turn it is."""
+"""Receive attempts, queue or refuse them, and choose which starts next."""
 
 from ..mailbox.messages import Hello, NotStarted, Refusal, Start
 from .admission import Admitted, Deferred, Refused
@@ -6,18 +6,18 @@
 from .core import Core
 from .records import AttemptRecord, ExpiredRecord
 
-# How long an attempt waits for facts that it is newer than.  An entry
-# answers within a few milliseconds; after this the caller is better served
-# by another endpoint.
+# How long an attempt waits if its revision is newer than the agent's facts.  An
+# entry sends newer facts within a few milliseconds; after this time the caller is
+# better served by another endpoint.
 DEFER_SECONDS = 1.0
 
-# Bills that no entry has settled.  A bill is never dropped: at the bound the
-# agent takes no more work until some are settled.
+# Limit for unsettled bills.  A bill is never dropped; at the limit the agent
+# refuses new attempts until some bills are settled.
 MAX_UNSETTLED = 20_000
 
 
 class Intake:
-    """Attempts from their arrival until they may start."""
+    """Handles attempts from their arrival until they may start."""
 
     __slots__ = ("_core",)
 
@@ -25,7 +25,7 @@
         self._core = core
 
     def receive(self, *, start: Start, sender: str, incarnation: str) -> None:
-        """Take in a start; `incarnation` is the sender's."""
+        """Handle a start message; `incarnation` is the sender's."""
         core = self._core
         match core.attempts.find(key=start.attempt):
             case AttemptRecord(message=NotStarted() as message):
@@ -51,12 +51,12 @@
             self._admit(attempt)
 
     def release_deferred(self) -> None:
-        """Judge those that wait for facts again."""
+        """Check the attempts that wait for newer facts again."""
         for attempt in self._core.queue.pop_deferred():
             self._admit(attempt)
 
     def refuse_waiting(self) -> None:
-        """Refuse at once what waits and may no longer start."""
+        """Refuse at once all queued attempts that may no longer start."""
         live = list(self._core.attempts.live.values())
         for attempt in live:
             if attempt.phase is not Phase.QUEUED:
@@ -66,7 +66,7 @@
                 self._core.refuse(attempt, verdict.refusal)
 
     def tick(self) -> None:
-        """Refuse what waited too long."""
+        """Refuse attempts that have waited too long."""
         core = self._core
         now = core.clock()
         for attempt in core.queue.expire(now=now):
@@ -79,7 +79,7 @@
             core.refuse(core.parked, Refusal.DEADLINE)
 
     def choose(self) -> Attempt | None:
-        """Return the next attempt that may start now, if there is room."""
+        """Return the next attempt that may start now, or None."""
         while (attempt := self._find_next()) is not None:
             match self._core.check_admission(attempt):
                 case Refused(refusal=refusal):
@@ -91,10 +91,10 @@
         return None
 
     def _find_refusal(self, start: Start) -> Refusal | None:
-        """Return why a start is refused without a record.
+        """Return why a start is refused without a record, or None if it isn't.
 
-        Neither kind is ever taken by this incarnation, so the refusal
-        stays true without being remembered.
+        This incarnation never accepts such a start, neither now nor later, so the
+        refusal stays true without a record of it.
         """
         if start.agent != self._core.state.incarnation:
             return Refusal.OTHER_INCARNATION
@@ -110,7 +110,7 @@
                 self._enqueue(attempt)
 
     def _defer(self, attempt: Attempt) -> None:
-        """Keep an attempt until newer facts come, and ask for them."""
+        """Let an attempt wait for newer facts, and ask its owner for them."""
         core = self._core
         now = core.clock()
         if not attempt.deferred_until:
@@ -138,10 +138,10 @@
             core.refuse(core.queue.find_displaced() or attempt, Refusal.FULL)
 
     def _find_next(self) -> Attempt | None:
-        """Return whose turn it is.
+        """Return the attempt whose turn it is, or None.
 
-        One that must run alone waits apart until all slots are free, and
-        nothing else starts meanwhile.
+        An attempt that must run alone is parked until all slots are free, and no
+        other attempt starts meanwhile.
         """
         core = self._core
         if core.slots.has_alone:
--- a/eelgrassrack/agent/outbox.py
+++ b/eelgrassrack/agent/outbox.py
@@ -1,9 +1,9 @@
-"""Gather what an agent says, so that one parcel holds a whole engine step.
+"""Delay outgoing messages briefly, so that a batch holds a whole engine step.
 
-An engine emits a token for each running stream at every batch step, but
-they arrive over as many connections in as many turns of the loop.  Without
-gathering, each token is a parcel of its own: a write here and a read in the
-entry, which is what relaying costs most of.
+An engine emits a token for each running stream at every step, but the tokens
+arrive over separate connections in separate iterations of the event loop.
+Without the delay each token would be sent as a batch of its own, with a write in
+the agent and a read in the entry, which are the largest costs of relaying.
 """
 
 import asyncio
@@ -14,18 +14,17 @@
 
 Post = Callable[[str, AnyMessage], None]
 
-# A step takes about 30 ms, so this adds little to the time between tokens.
+# An engine step takes about 30 ms, so this adds little to the time between tokens.
 GATHER_SECONDS = 0.002
 
-
-# The mailbox puts all that is posted in one tick into one parcel and loses a
-# parcel that is too large.  Bodies of plain services would get there, so no
-# more than this is posted in a tick.
+# The mailbox sends all messages posted in one iteration of the event loop as one
+# batch and loses a batch that is too large.  Bodies of plain services could reach
+# that size, so no more than this is posted in one iteration.
 MAX_TICK_BYTES = 1_000_000
 
 
 class Outbox:
-    """Post messages in order, a little later and together."""
+    """Posts messages in order, after a short delay and together."""
 
     __slots__ = ("_due", "_schedule", "_post", "_posted_bytes", "_waiting")
 
@@ -49,7 +48,7 @@
             self._schedule(GATHER_SECONDS, self._flush_due)
 
     def flush(self) -> None:
-        """Post what waits, up to what one tick may carry."""
+        """Post the waiting messages, up to `MAX_TICK_BYTES`."""
         while self._waiting and self._posted_bytes < MAX_TICK_BYTES:
             to, message = self._waiting.popleft()
             self._post(to, message)
@@ -71,5 +70,5 @@
 
 
 def call_later(seconds: float, callback: Callable[[], None]) -> object:
-    """Call back later on the running loop."""
+    """Call `callback` on the running event loop after some seconds."""
     return asyncio.get_running_loop().call_later(seconds, callback)
--- a/eelgrassrack/agent/outcomes.py
+++ b/eelgrassrack/agent/outcomes.py
@@ -1,7 +1,7 @@
-"""How an exchange with the endpoint may end.
+"""The possible outcomes of an exchange with the endpoint.
 
-Each way in which an endpoint may fail is an outcome of its own, so that
-nothing later has to guess whether an answer was whole or a request seen.
+Each way in which an endpoint can fail is a separate outcome, so that no later
+step has to guess whether the answer was complete or the request was received.
 """
 
 import msgspec
@@ -10,14 +10,14 @@
 
 
 class Usage(msgspec.Struct, kw_only=True, frozen=True):
-    """The tokens an attempt used, as the engine counted them."""
+    """The tokens that an attempt used, as reported by the engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
 
 
 class Completed(msgspec.Struct, kw_only=True, frozen=True):
-    """The answer came whole."""
+    """The endpoint sent the complete answer."""
 
     status: int
     headers: Headers = ()
@@ -25,7 +25,10 @@
 
 
 class AnswerFailed(msgspec.Struct, kw_only=True, frozen=True):
-    """The endpoint answered, but not with a whole answer to this request."""
+    """The endpoint answered, but not with a complete answer to this request.
+
+    `cut` is true if the answer ended before it was complete.
+    """
 
     reason: str
     status: int = 502
@@ -39,7 +42,7 @@
 
 
 class NotConnected(msgspec.Struct, kw_only=True, frozen=True):
-    """No connection came about, so the endpoint saw nothing."""
+    """The connection failed, so the endpoint received nothing."""
 
     reason: str
 
--- a/eelgrassrack/agent/pause.py
+++ b/eelgrassrack/agent/pause.py
@@ -1,13 +1,14 @@
-"""Find out that this process was paused, before it acts on what it knew.
+"""Detect that this process was paused, before it acts on outdated facts.
 
-An instance may be frozen for a minute.  When it wakes its queue and its
-facts look as they did, but a version may have been withdrawn meanwhile.  It
-shows as a gap between two ticks of the loop.  Nothing is started then until
-an entry has said which revision is in force.
+An instance may be frozen for a minute.  When it resumes its queue and its facts
+are unchanged, but a version may have been withdrawn meanwhile.  The pause shows as
+a gap between two ticks of the event loop.  No attempt starts after it until an
+entry has confirmed the current revision.
 
-What entries said before may come at any time: peers send again what a frozen
-instance didn't take, and wait ever longer between two tries.  So the agent
-asks a question, another one after each pause, and heeds only its answer.
+Messages from before or during the pause may arrive at any time after it: peers
+resend what a frozen instance didn't receive, with growing delays.  So the agent
+sends a request with a new nonce after each pause and accepts only an answer that
+repeats it.
 """
 
 import secrets
@@ -22,8 +23,8 @@
 
 log = logbook.Logger("pause")
 
-# Ticks come four times a second; a busy loop is late by far less than this,
-# and a withdrawal has to be in force within two seconds.
+# Ticks come four times a second, and a busy loop delays them by far less than this.
+# A withdrawal has to take effect within two seconds.
 MAX_GAP_SECONDS = 2.0
 
 ASK_AGAIN_SECONDS = 1.0
@@ -32,7 +33,7 @@
 
 
 class PauseDetector:
-    """Notice pauses and have the facts confirmed after one."""
+    """Detects pauses and has the facts confirmed after each."""
 
     __slots__ = (
         "_asked_at",
@@ -59,12 +60,12 @@
         self._asked_at = float("-inf")
 
     def detect_pause(self) -> None:
-        """Look for a gap; called before anything is decided."""
+        """Check for a gap; called before each decision that relies on the facts."""
         now = self._clock()
         gap = now - self._ticked_at
         if gap <= MAX_GAP_SECONDS:
             return
-        log.warning("pause: this process stood still for {:.1f} s", gap)
+        log.warning("pause: this process was paused for {:.1f} s", gap)
         self._ticked_at = now
         self._state.confirmed = False
         self._state.question = 1 + secrets.randbits(QUESTION_BITS)
@@ -72,7 +73,7 @@
         self._ask(now)
 
     def tick(self) -> None:
-        """Ask the parents for the revision in force, while it is unknown."""
+        """Ask the parents for the current revision until it is confirmed."""
         self.detect_pause()
         now = self._clock()
         self._ticked_at = now
@@ -80,7 +81,10 @@
             self._ask(now)
 
     def confirm(self, *, revision: int, answers: int) -> bool:
-        """Take an entry's revision; return true when it ends the doubt."""
+        """Handle an entry's revision; return true if it confirms the facts.
+
+        `answers` is the nonce that the entry repeats.
+        """
         facts = self._state.facts
         if self._state.confirmed or facts is None:
             return False
--- a/eelgrassrack/agent/quarantine.py
+++ b/eelgrassrack/agent/quarantine.py
@@ -1,20 +1,20 @@
-"""Fingerprints of requests that crash endpoints, as the entries told them.
+"""The fingerprints of requests that crash endpoints (queries of death).
 
-Entries decide what is quarantined and for how long.  They tell it again
-with their facts; what isn't told again is forgotten here, so that a
-fingerprint released by the entries doesn't stay refused for good.
+Entries decide which fingerprints are quarantined and for how long, and repeat them
+with the facts.  A fingerprint that isn't repeated expires here, so that one
+released by the entries isn't refused forever.
 """
 
 from collections.abc import Iterable
 
-# Longer than any gap between two tellings, and short enough that an
-# operator who released a request needn't restart agents.
+# Longer than any interval between two repeats, and short enough that an operator
+# who has released a request needn't restart the agents.
 FINGERPRINT_TTL_SECONDS = 900.0
 MAX_FINGERPRINTS = 10_000
 
 
 class Quarantine:
-    """Quarantined fingerprints with the time until which each counts."""
+    """The quarantined fingerprints, each with the time at which it expires."""
 
     __slots__ = ("_expires_at", "fingerprints")
 
@@ -23,7 +23,7 @@
         self.fingerprints: frozenset[str] = frozenset()
 
     def add(self, fingerprints: Iterable[str], *, now: float) -> None:
-        """Take over fingerprints that an entry told."""
+        """Add fingerprints received from an entry, or extend their time."""
         for fingerprint in fingerprints:
             self._expires_at.pop(fingerprint, None)
             self._expires_at[fingerprint] = now + FINGERPRINT_TTL_SECONDS
@@ -32,7 +32,7 @@
         self.fingerprints = frozenset(self._expires_at)
 
     def expire(self, *, now: float) -> None:
-        """Forget what wasn't told again."""
+        """Remove the fingerprints that weren't repeated in time."""
         oldest = next(iter(self._expires_at.values()), now + FINGERPRINT_TTL_SECONDS)
         if oldest > now:
             return
--- a/eelgrassrack/agent/records.py
+++ b/eelgrassrack/agent/records.py
@@ -1,16 +1,17 @@
-"""What an agent remembers of attempts that it no longer keeps.
-
-What was once said of an attempt has to stay true: one that was refused, or
-that an entry asked about before it came, never starts; one that started
-never starts again, and nobody is told that it didn't run.
-
-A record of each is kept for an hour.  After that an attempt that started is
-remembered by its digest, for as long as this incarnation lives: an entry
-may ask about a claim days later, and "never seen" would let it run twice.
-A refusal needs no memory then: no entry sends a start that old, since one
-that was paused for so long learns of it before it acts.  When the digests
-are full, no start is taken any more, until the agent goes on as another
-incarnation, which knows nothing of the old one's attempts and says so.
+"""Records of attempts that are no longer kept.
+
+What the agent has said about an attempt must stay true.  An attempt that was
+refused, or that an entry asked about before it arrived, never starts; the record
+of this is a tombstone.  An attempt that started never starts again, and the agent
+never says that it didn't run.
+
+Each record is kept for an hour.  After that the agent still remembers the digest
+of an attempt that started, for as long as this incarnation lives: an entry may ask
+about a claim days later, and the answer "never seen" would let the request run
+twice.  A refusal can be dropped after an hour, because no entry sends a start that
+old: an entry that was paused for so long detects the pause before it acts.  When
+the digests are full the agent accepts no starts until it continues as a new
+incarnation, which says that it knows nothing of the old one's attempts.
 """
 
 import dataclasses
@@ -21,17 +22,21 @@
 # Four times the longest deadline.
 RECORD_TTL_SECONDS = 3600.0
 
-# At about 300 bytes a record these take 6 MB.
+# At about 300 bytes per record these take 6 MB.
 MAX_RECORDS = 20_000
 
-# Four megabytes; at an engine's usual three requests a second they last
-# for two days, longer than most instances live.
+# These take four megabytes.  At an engine's usual three requests per second they
+# last for two days, longer than most instances live.
 MAX_DIGESTS = 500_000
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, eq=False)
 class AttemptRecord:
-    """The last word on an attempt that is no longer kept."""
+    """The final message about an attempt that is no longer kept.
+
+    With `NotStarted` it is a tombstone: the attempt must never start.
+    `recorded_at` is in seconds of the agent's clock.
+    """
 
     message: NotStarted | Ended
     recorded_at: float
@@ -39,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, eq=False)
 class ExpiredRecord:
-    """An attempt that started; how it ended is no longer known."""
+    """An attempt that started, and whose record with the outcome has expired."""
 
 
 class AttemptRecords:
@@ -60,11 +65,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether nothing more can be remembered."""
+        """Return whether there is no room for another digest."""
         return max(len(self._started), len(self._refused)) >= MAX_DIGESTS
 
     def find(self, *, key: str) -> AttemptRecord | ExpiredRecord | None:
-        """Return what is remembered of an attempt."""
+        """Return the record of an attempt, or None if it is unknown."""
         record = self._by_attempt.get(key)
         if record is not None:
             return record
@@ -76,13 +81,13 @@
         return None
 
     def add(self, *, key: str, message: NotStarted | Ended, now: float) -> None:
-        """Remember the last word on an attempt."""
+        """Record the final message about an attempt."""
         self._by_attempt[key] = AttemptRecord(message=message, recorded_at=now)
         while len(self._by_attempt) > MAX_RECORDS:
             self._compact_oldest(keeps_refusal=True)
 
     def expire(self, *, now: float) -> None:
-        """Compact the records of an hour ago."""
+        """Reduce records older than an hour to digests, and drop old refusals."""
         while self._by_attempt:
             oldest = next(iter(self._by_attempt.values()))
             if now - oldest.recorded_at <= RECORD_TTL_SECONDS:
@@ -93,7 +98,7 @@
             self._refused_previous, self._refused = self._refused, Digests()
 
     def clear(self) -> None:
-        """Forget everything; only a new incarnation may do so."""
+        """Drop all records; only a new incarnation may do so."""
         self._by_attempt.clear()
         self._started = Digests()
         self._refused = Digests()
--- a/eelgrassrack/agent/relay.py
+++ b/eelgrassrack/agent/relay.py
@@ -1,4 +1,4 @@
-"""Tell entries what becomes of their attempts, and keep it to tell again."""
+"""Send entries the progress of their attempts, and keep it for resending."""
 
 import msgspec
 import xxhash
@@ -20,7 +20,7 @@
 
 
 class Relay:
-    """What an agent says of attempts."""
+    """Sends messages about attempts to entries."""
 
     __slots__ = ("_attempts", "_metrics", "_outbox")
 
@@ -30,24 +30,24 @@
         self._metrics = metrics
 
     def send(self, to: str, message: AnyMessage) -> None:
-        """Send a message behind all that was said before."""
+        """Send a message after all earlier ones."""
         self._outbox.add(to, message)
 
     def send_to_readers(self, attempt: Attempt, message: AnyMessage) -> None:
-        """Send a message to all that follow an attempt."""
+        """Send a message to all readers of an attempt."""
         for reader in attempt.readers:
             self.send(reader, message)
 
     def send_tombstone(
         self, to: str, key: str, refusal: Refusal, *, now: float
     ) -> None:
-        """Say that an attempt never starts, and remember it."""
+        """Record that an attempt never starts, and tell one entry."""
         self.send(to, self._attempts.add_tombstone(key=key, refusal=refusal, now=now))
 
     def refuse(
         self, attempt: Attempt, refusal: Refusal, *, retry_after: float, now: float
     ) -> None:
-        """Say that a queued attempt never starts, and remember it."""
+        """Record that a queued attempt never starts, and tell its readers."""
         self._attempts.add_tombstone(key=attempt.key, refusal=refusal, now=now)
         message = NotStarted(
             attempt=attempt.key, refusal=refusal, retry_after=retry_after
@@ -56,13 +56,13 @@
         self._metrics.count(NOT_STARTED, label=refusal.value)
 
     def begin(self, attempt: Attempt) -> None:
-        """Say that an attempt starts, before its first byte is sent."""
+        """Announce the start of an attempt, before its first byte is sent."""
         self._metrics.count(STARTED)
         self.send_to_readers(attempt, Begun(attempt=attempt.key))
         self._outbox.flush()
 
     def relay_piece(self, attempt: Attempt, data: bytes) -> None:
-        """Send a piece and keep it."""
+        """Store a piece of the answer and send it to the readers."""
         number = self._attempts.keep_piece(attempt, data)
         piece = Piece(attempt=attempt.key, number=number, data=data)
         self.send_to_readers(attempt, piece)
@@ -78,7 +78,7 @@
         headers: tuple[tuple[str, str], ...] = (),
         bill: Bill | None = None,
     ) -> None:
-        """Say how a running attempt ended, and keep it."""
+        """Record how a running attempt ended, and tell its readers and owner."""
         self._metrics.count(ENDED, label=finish.value)
         ended = Ended(
             attempt=attempt.key,
@@ -96,10 +96,10 @@
         self._outbox.flush()
 
     def report_end(self, attempt: Attempt, to: str) -> None:
-        """Say how an attempt ended; only its owner gets the bill.
+        """Send the end of an attempt; only its owner receives the bill.
 
-        An entry that takes an answer over isn't given the bill with it.
-        Otherwise both would put it in their ledgers.
+        An entry that takes over an answer isn't sent the bill.  Otherwise both
+        entries would write it to their ledgers.
         """
         ended = attempt.ended
         if to != attempt.owner or attempt.holders or attempt.settled:
@@ -107,10 +107,11 @@
         self.send(to, ended)
 
     def replay(self, attempt: Attempt, reader: str, offset: int) -> None:
-        """Send an attempt's pieces again, from a number on.
+        """Resend an attempt's pieces from number `offset` on.
 
-        What follows goes to this reader too, and still to those before it:
-        the entry that sent the attempt has a caller that waits as well.
+        The reader receives all later pieces, too.  The earlier readers still
+        receive them, because the entry that sent the attempt has a waiting caller
+        as well.
         """
         if reader not in attempt.readers:
             attempt.readers = (*attempt.readers, reader)
--- a/eelgrassrack/agent/replies.py
+++ b/eelgrassrack/agent/replies.py
@@ -1,4 +1,4 @@
-"""Answer what entries ask about attempts that came before."""
+"""Answer requests from entries about earlier attempts."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
 
 
 class Replies:
-    """Answer `Ask`, `Resume` and `Settle`."""
+    """Handles the messages `Ask`, `Resume` and `Settle`."""
 
     __slots__ = ("_attempts", "_clock", "_relay", "_state")
 
@@ -39,7 +39,10 @@
         self._clock = clock
 
     def answer(self, ask: Ask, sender: str) -> None:
-        """Say what became of an attempt; vow never to start an unseen one."""
+        """Send the state of an attempt.
+
+        An unknown attempt gets a tombstone, so that "not started" stays true.
+        """
         match self._attempts.find(key=ask.attempt):
             case Attempt(phase=Phase.QUEUED):
                 self._relay.send(sender, Waits(attempt=ask.attempt))
@@ -50,8 +53,8 @@
             case AttemptRecord(message=NotStarted()) if self._is_other_incarnation(
                 ask.agent
             ):
-                # The vow is this incarnation's.  The attempt was meant for
-                # another one, which may have run it.
+                # The tombstone only says that this incarnation never starts the
+                # attempt.  It was meant for another one, which may have run it.
                 self._relay.send(sender, UnknownAttempt(attempt=ask.attempt))
             case AttemptRecord(message=message):
                 self._relay.send(sender, message)
@@ -63,7 +66,7 @@
                 self._refuse_unseen(ask.attempt, sender)
 
     def resume(self, resume: Resume, sender: str) -> None:
-        """Send pieces again, and what follows to the same reader."""
+        """Resend pieces of an answer, and send later ones to the same entry."""
         match self._attempts.find(key=resume.attempt):
             case None | ExpiredRecord():
                 self._relay.send(sender, UnknownAttempt(attempt=resume.attempt))
@@ -81,10 +84,10 @@
                 self._relay.replay(attempt, sender, max(resume.offset, 0))
 
     def _report_missing_pieces(self, ended: Ended, sender: str) -> None:
-        """Say that pieces which an entry lacks aren't kept any more.
+        """Report that the pieces which an entry lacks aren't kept any more.
 
-        Told of the whole end again, the entry would ask for them again at
-        once, over and over until its caller's deadline.
+        If the entry received the normal end instead, it would ask for the pieces
+        again at once, in a loop until its caller's deadline.
         """
         cut = Ended(
             attempt=ended.attempt,
@@ -96,7 +99,7 @@
         self._relay.send(sender, cut)
 
     def settle(self, settle: Settle) -> None:
-        """Forget the answers whose bills are in a ledger."""
+        """Note that the bills of these attempts are in a ledger."""
         for key in settle.attempts:
             self._attempts.settle(key=key, now=self._clock())
 
@@ -105,8 +108,8 @@
 
     def _refuse_unseen(self, key: str, sender: str) -> None:
         if self._attempts.is_full:
-            # This incarnation takes no start any more, so the vow holds
-            # without a record.
+            # This incarnation accepts no more starts, so the refusal holds without
+            # a tombstone.
             message = NotStarted(attempt=key, refusal=Refusal.NEVER_SEEN)
             self._relay.send(sender, message)
             return
--- a/eelgrassrack/agent/runner.py
+++ b/eelgrassrack/agent/runner.py
@@ -1,8 +1,8 @@
-"""Run attempts at the endpoint: start them when there is room, end them.
+"""Run attempts at the endpoint: start them when a slot is free, and end them.
 
-This is the one place where an attempt starts.  It becomes running at the
-moment when the connection to the endpoint stands and before the first byte
-is sent; up to then it can still be refused truthfully.
+Attempts start only here.  An attempt is running from the moment when the
+connection to the endpoint is established and before the first byte is sent.  Until
+then it can still be refused as not run.
 """
 
 import asyncio
@@ -36,14 +36,14 @@
 
 log = logbook.Logger("runner")
 
-# A stream that is silent for so long has failed.  The first token may wait
-# for the engine's own queue and for a long prompt.
+# A stream has failed if it is silent for this long.  The first token takes longer,
+# because of the engine's own queue and of long prompts.
 FIRST_TOKEN_SECONDS = 30.0
 NEXT_TOKEN_SECONDS = 10.0
 
 
 class Runner:
-    """Attempts from their start to their end."""
+    """Runs attempts from their start to their end."""
 
     __slots__ = (
         "_announce",
@@ -64,7 +64,7 @@
         is_alive: IsAlive,
         announce: Callable[[AnyMessage], None],
     ) -> None:
-        """Call `announce` with what all entries should know."""
+        """Create a runner; `announce` sends a message to all entries."""
         self._core = core
         self._intake = intake
         self._engine = engine
@@ -80,7 +80,7 @@
         )
 
     def pump(self) -> None:
-        """Start attempts while there is room."""
+        """Start queued attempts while slots are free."""
         while (attempt := self._intake.choose()) is not None:
             exchange = Exchange()
             job = self._run(attempt, exchange)
@@ -92,14 +92,14 @@
             self._start_probe()
 
     def tick(self) -> None:
-        """End what takes too long and start what may start."""
+        """End attempts that take too long and start queued ones."""
         now = self._core.clock()
         for attempt in list(self._core.attempts.running.values()):
             self._check_timeouts(attempt, now)
         self.pump()
 
     def cancel(self, cancel: Cancel, sender: str) -> None:
-        """Withdraw an attempt wherever it is."""
+        """Cancel an attempt in whatever state it is."""
         match self._core.attempts.find(key=cancel.attempt):
             case None:
                 self._cancel_unseen(cancel, sender)
@@ -119,7 +119,7 @@
                 self._core.relay.report_end(attempt, sender)
 
     def cut_all(self, reason: str) -> None:
-        """End all that still runs, when there is no more time."""
+        """End all running attempts."""
         for attempt in list(self._core.attempts.running.values()):
             self._stop(attempt, Finish.CUT, reason)
 
@@ -128,7 +128,7 @@
             self._probe = asyncio.get_running_loop().create_task(self._probe_endpoint())
 
     async def _probe_endpoint(self) -> None:
-        """Look at the endpoint, and start what may start then."""
+        """Poll the endpoint's health, then start what may start."""
         await self._is_alive(self._core.clock())
         if self._probe is asyncio.current_task():
             self._probe = None
@@ -138,7 +138,7 @@
     def _free(self, attempt: Attempt) -> None:
         self._core.slots.free(attempt)
         if not len(self._core.slots):
-            # A look that is under way began before the endpoint was idle.
+            # A probe in progress began before the endpoint was idle and doesn't count.
             self._probe = None
             self._core.window.is_unprobed = True
 
@@ -162,7 +162,7 @@
             self.pump()
 
     def _begin(self, attempt: Attempt) -> bool:
-        """Decide at the last moment whether the attempt starts."""
+        """Check the attempt once more and mark it as running if it may start."""
         core = self._core
         if core.attempts.live.get(attempt.key) is not attempt:
             return False
@@ -183,7 +183,7 @@
                 return refusal
             case Deferred():
                 return Refusal.STALE
-        # The window may have closed while the connection was made.
+        # The window may have shrunk while the connection was established.
         if len(self._core.attempts.running) >= self._core.window.limit:
             return Refusal.FULL
         return None
@@ -221,7 +221,7 @@
                 self._abandon(attempt, reason)
 
     def _abandon(self, attempt: Attempt, reason: str) -> None:
-        """End an attempt that came to nothing, started or not."""
+        """End a failed attempt: refuse it if it hasn't started."""
         if self._core.attempts.live.get(attempt.key) is not attempt:
             return
         if attempt.phase is Phase.QUEUED:
@@ -270,7 +270,7 @@
         )
 
     def _check_timeouts(self, attempt: Attempt, now: float) -> None:
-        """End a running attempt that is late or silent."""
+        """End a running attempt after its deadline or a too long silence."""
         if now >= attempt.cut_at:
             self._stop(attempt, Finish.DEADLINE, "the deadline has passed")
             return
@@ -298,8 +298,8 @@
                 sender, cancel.attempt, Refusal.CANCELLED, now=now
             )
             return
-        # A predecessor may have run it; only the vow not to start it from
-        # now on can be kept, and it is no answer to the entry's question.
+        # An earlier incarnation may have run the attempt.  This one can only make
+        # sure not to start it, which doesn't tell the entry whether it ran.
         core.attempts.add_tombstone(
             key=cancel.attempt, refusal=Refusal.CANCELLED, now=now
         )
--- a/eelgrassrack/agent/settlement.py
+++ b/eelgrassrack/agent/settlement.py
@@ -1,13 +1,13 @@
-"""Bills that an agent settles itself, when no entry is left to take them.
+"""Settle bills in the agent itself when no entry is left to do so.
 
-An agent that stops hands its bills to entries and waits until they are
-settled.  When all entries are gone for its whole grace, the bills would end
-with it: answers that callers have would never be billed.  It then does once
-what an entry does in a recovery: it seals the ledgers that were given the
-bills and puts into a ledger of its own what none of them has.
+A stopping agent sends its bills to entries and waits until they are settled.  If
+no entry is reachable for its whole grace period, the bills would be lost with the
+agent, and answers that callers have received would never be billed.  The agent then
+does once what an entry does in a recovery: it seals the ledgers that were given
+the bills, and writes the bills that none of them holds to a ledger of its own.
 
-This is the only time that an agent calls the object API, so the calls
-don't grow with the fleet.
+An agent calls the object API only here, so the number of calls doesn't grow with
+the fleet.
 """
 
 import itertools
@@ -27,7 +27,7 @@
 
 
 class Settlement:
-    """Put bills into a ledger of this agent's own."""
+    """Writes bills to a ledger of this agent's own."""
 
     __slots__ = ("_invariants", "_price", "_store")
 
@@ -45,7 +45,7 @@
     async def settle(
         self, *, incarnation: str, attempts: Iterable[Attempt]
     ) -> tuple[str, ...]:
-        """Return the attempts that are billed for good after this."""
+        """Settle the bills; return the names of the attempts now in a ledger."""
         ledger = Ledger(
             store=self._store,
             incarnation=incarnation,
--- a/eelgrassrack/agent/slots.py
+++ b/eelgrassrack/agent/slots.py
@@ -1,7 +1,7 @@
-"""The slots of the endpoint that are taken, each by one exchange.
+"""The slots of the endpoint that are in use, each by one exchange.
 
-A slot is freed when its exchange has ended, not when its attempt was told
-to stop: until then the endpoint may still be at work for it.
+A slot is freed when its exchange has ended, not when its attempt is stopped.
+Until then the endpoint may still be working on it.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, eq=False)
 class Slot:
-    """One slot, the attempt it was taken for and its exchange."""
+    """A slot in use, with its attempt, exchange and task."""
 
     attempt: Attempt
     exchange: Exchange
@@ -22,7 +22,7 @@
 
 
 class Slots:
-    """All taken slots by attempt."""
+    """All slots in use, by attempt."""
 
     __slots__ = ("_by_attempt",)
 
@@ -30,18 +30,18 @@
         self._by_attempt: dict[str, Slot] = {}
 
     def __len__(self) -> int:
-        """Return how many are taken."""
+        """Return the number of slots in use."""
         return len(self._by_attempt)
 
     @property
     def has_alone(self) -> bool:
-        """Tell whether an attempt runs that must run alone."""
+        """Return whether a slot is in use by an attempt that must run alone."""
         return any(slot.attempt.start.alone for slot in self._by_attempt.values())
 
     def take(
         self, attempt: Attempt, exchange: Exchange, job: Coroutine[None, None, None]
     ) -> None:
-        """Take a slot and run the job that frees it."""
+        """Take a slot and start the coroutine, which frees the slot at its end."""
         task = asyncio.get_running_loop().create_task(job)
         self._by_attempt[attempt.key] = Slot(
             attempt=attempt, exchange=exchange, task=task
@@ -63,6 +63,6 @@
             slot.exchange.stop()
 
     async def wait(self) -> None:
-        """Wait for the ends of all exchanges."""
+        """Wait until all exchanges have ended."""
         tasks = [slot.task for slot in self._by_attempt.values()]
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/eelgrassrack/agent/transfer.py
+++ b/eelgrassrack/agent/transfer.py
@@ -1,4 +1,4 @@
-"""One curl transfer: its options, its callbacks and how it ended."""
+"""One curl transfer: its options, its callbacks and its outcome."""
 
 import socket
 from collections.abc import Callable
@@ -19,10 +19,10 @@
     Usage,
 )
 
-# Longest text of a failed answer that is kept to tell the caller why.
+# Bytes of an error response that are kept as the reason for the caller.
 MAX_REASON_BYTES = 2000
 
-# Curl's errors that mean the connection broke rather than the answer.
+# Curl's errors that mean a broken connection rather than an invalid answer.
 BROKEN_ERRORS = frozenset(
     {
         pycurl.E_GOT_NOTHING,
@@ -34,7 +34,7 @@
 
 
 class Exchange:
-    """The handle by which a running exchange is stopped."""
+    """A handle that stops a running exchange."""
 
     __slots__ = ("sockets", "stopped")
 
@@ -59,7 +59,7 @@
 
 
 class Transfer:
-    """One curl transfer and what came of it so far."""
+    """One curl transfer and its state."""
 
     __slots__ = (
         "_answer",
@@ -89,24 +89,24 @@
         self._status = 0
 
     def prepare(self, curl: pycurl.Curl) -> None:
-        """Set what tornado has no parameter for."""
-        # Curl sends a request again, whatever its method, when a reused
-        # connection breaks before an answer.  An engine that took the
-        # request and crashed would then run it twice, which nothing but its
-        # own log would show.  A connection of its own for each request also
-        # rules out that a late answer is read as another request's.
+        """Set the curl options that tornado has no parameters for."""
+        # Curl resends a request, whatever its method, if a reused connection
+        # breaks before the answer.  An engine that accepted the request and
+        # crashed would then run it twice, which only its own log would show.  A
+        # separate connection for each request also ensures that a late answer
+        # can't be taken for the answer to another request.
         curl.setopt(pycurl.FRESH_CONNECT, 1)
         curl.setopt(pycurl.FORBID_REUSE, 1)
         curl.setopt(pycurl.NOPROXY, "*")
         curl.setopt(pycurl.OPENSOCKETFUNCTION, self._open_socket)
         curl.setopt(pycurl.PREREQFUNCTION, self._confirm_start)
-        # Headers and chunks are taken in curl's own callbacks: the queue that
-        # tornado puts in between costs a turn of the loop for each token.
+        # Headers and chunks are processed directly in curl's callbacks.  Tornado's
+        # queue would cost an iteration of the event loop for each token.
         curl.setopt(pycurl.HEADERFUNCTION, self._read_header)
         curl.setopt(pycurl.WRITEFUNCTION, self._write)
 
     def explain(self, error: CurlError) -> Outcome:
-        """Turn curl's error into an outcome."""
+        """Return the outcome that a curl error means."""
         if self._exchange.stopped:
             return Stopped()
         if self._error is not None:
@@ -118,7 +118,7 @@
         return AnswerFailed(reason=str(error))
 
     def finish(self, status: int) -> Outcome:
-        """Judge an answer that came to its end."""
+        """Return the outcome of a transfer that ended without a curl error."""
         if self._error is not None:
             return AnswerFailed(reason=self._error.reason, cut=self._error.cut)
         if not self._answer.accepts(status):
@@ -149,7 +149,7 @@
     def _read_header(self, line: bytes) -> None:
         text = line.decode("latin-1").strip()
         if text.startswith("HTTP/"):
-            # An interim answer may come first; the last status counts.
+            # Interim (1xx) responses may come first; the last status counts.
             self._status = int(text.split()[1])
             self._headers.clear()
             return
