--- a/eelgrassrack/agent/attemptqueue.py
+++ b/eelgrassrack/agent/attemptqueue.py
@@ -69,7 +69,7 @@
         return dict(self._tokens_by.most_common(MAX_REPORTED_ORGANISATIONS))
 
     def find_patient(self) -> dict[str, int]:
-        """Return the waiting tokens of patient requests of those organisations.
+        """Return the tokens of patient requests of the organisations in `find_largest`.
 
         A patient request is a long job with time to spare.
         """
--- a/eelgrassrack/mailbox/codec.py
+++ b/eelgrassrack/mailbox/codec.py
@@ -1,4 +1,4 @@
-"""Parcels as MessagePack bytes and back."""
+"""Encode message batches as MessagePack, and decode them."""
 
 import msgspec
 
@@ -10,19 +10,19 @@
 
 
 def encode_batch(batch: MessageBatch) -> bytes:
-    """Return a parcel as bytes."""
+    """Return a message batch as bytes."""
     return _encoder.encode(batch)
 
 
 def decode_batch(data: bytes) -> MessageBatch:
-    """Return the parcel that the bytes hold.
+    """Return the message batch that the bytes encode.
 
-    Raise `MailboxError` for bytes of another protocol or of none.
+    Raise `MailboxError` if the bytes are invalid or of another protocol version.
     """
     try:
         batch = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MailboxError(f"a parcel can't be read: {error}") from error
+        raise MailboxError(f"can't decode a message batch: {error}") from error
     if batch.protocol != PROTOCOL:
-        raise MailboxError(f"a parcel of protocol {batch.protocol} came")
+        raise MailboxError(f"a message batch of protocol {batch.protocol} came")
     return batch
--- a/eelgrassrack/mailbox/errors.py
+++ b/eelgrassrack/mailbox/errors.py
@@ -4,4 +4,4 @@
 
 
 class MailboxError(EelgrassrackError):
-    """The mailbox can't be opened."""
+    """The mailbox can't be opened, or received bytes can't be decoded."""
--- a/eelgrassrack/mailbox/messages.py
+++ b/eelgrassrack/mailbox/messages.py
@@ -1,8 +1,8 @@
 """The messages that entries and agents send each other.
 
-All messages are msgspec structs, encoded as MessagePack arrays with a
-tag.  Times inside messages are durations in seconds, never points in
-time, because instances don't share a clock.
+All messages are msgspec structs, encoded as MessagePack arrays with a tag.  Times
+in messages are durations in seconds, never points in time, because instances don't
+share a clock.
 """
 
 import enum
@@ -13,17 +13,17 @@
 
 
 class Message(msgspec.Struct, kw_only=True, frozen=True, array_like=True, tag=True):
-    """Base of every message."""
+    """Base class of all messages; a message is tagged with its class name."""
 
 
 class Facts(Message, kw_only=True):
-    """What an agent needs to know of the document.
+    """The part of the document that an agent needs.
 
-    `withdrawn` holds version names, `domains_out` domain names,
-    `endpoints_out` endpoint names, `weights` the share of each
-    organisation whose share differs from one, `costs` what the pool's
-    versions cost.  `concurrency` and
-    `cold_concurrency` are those of the receiver's pool.
+    `withdrawn` holds version names, `domains_out` domain names and
+    `endpoints_out` endpoint names.  `weights` holds the share of each
+    organisation whose share differs from one, and `costs` the cost of each of the
+    pool's versions.  `concurrency` and `cold_concurrency` are those of the
+    receiver's pool.
     """
 
     revision: int
@@ -40,9 +40,9 @@
 
 
 class FactsKept(Message, kw_only=True):
-    """The facts of revision `since` hold unchanged up to `revision`.
+    """The facts of revision `since` still hold at `revision`.
 
-    Most changes of the document don't touch what a pool's agents need.
+    Most changes of the document don't affect the facts of a pool's agents.
     """
 
     revision: int
@@ -52,15 +52,15 @@
 class Start(Message, kw_only=True):
     """Ask an agent to run one attempt.
 
-    `attempt` names this try and is never used again; `request` names
-    the caller's request, which is what is billed.  `agent` is the
-    incarnation the entry means: a restarted agent refuses the message,
-    since it can't know what its predecessor did with it.  `ledger` names
-    the entry's ledger that the attempt's bill goes into.  `step` is the
-    rung of a cascade: of several attempts at one step of a request only
-    one is billed.  `within` is the seconds left to the caller's deadline.
-    `alone` asks that nothing else runs beside it.  One that isn't
-    `repeatable` is never cut once it has started.
+    `attempt` names this attempt and is never reused; `request` names the caller's
+    request, which is what is billed.  `agent` is the incarnation for which the
+    message is meant: a restarted agent refuses it, because it can't know what the
+    earlier incarnation did with it.  `ledger` names the entry's ledger that gets
+    the attempt's bill.  `step` is the rung of a cascade: of several attempts at
+    one step of a request only one is billed.  `within` is the number of seconds
+    until the caller's deadline.  With `alone` no other attempt runs at the same
+    time.  An attempt that isn't `repeatable` and has started isn't cut off at the
+    caller's deadline.
     """
 
     attempt: str
@@ -86,11 +86,10 @@
 
 
 class Cancel(Message, kw_only=True):
-    """Withdraw an attempt; one that hasn't started never will.
+    """Cancel an attempt; if it hasn't started it never will.
 
-    With `only_waiting` one that has started goes on.  Only an agent that is
-    the incarnation `agent` can say of an attempt it never saw that it
-    didn't run.
+    With `only_waiting` an attempt that has started continues.  Only the agent of
+    incarnation `agent` can say of an attempt unknown to it that it didn't run.
     """
 
     attempt: str
@@ -99,10 +98,10 @@
 
 
 class Ask(Message, kw_only=True):
-    """Ask what became of an attempt.
+    """Ask for the state of an attempt.
 
-    An agent that never saw it vows never to start it, so that the
-    answer stays true.
+    An agent that doesn't know the attempt records a tombstone for it, so that its
+    answer, that the attempt hasn't started, stays true.
     """
 
     attempt: str
@@ -112,7 +111,7 @@
 class Resume(Message, kw_only=True):
     """Ask for an attempt's pieces again, from number `offset` on.
 
-    Sent to fill a gap, and by another entry to take an answer over.
+    An entry sends this to fill a gap, or to take over an answer from another entry.
     """
 
     attempt: str
@@ -120,7 +119,7 @@
 
 
 class Settle(Message, kw_only=True):
-    """Tell an agent that these attempts' bills are in the ledger."""
+    """Tell an agent that the bills of these attempts are in a ledger."""
 
     attempts: tuple[str, ...]
 
@@ -128,7 +127,7 @@
 class Piece(Message, kw_only=True):
     """One piece of an answer; `number` counts from zero.
 
-    For a streamed chat it is the JSON text of the engine's `choices`;
+    For a streamed chat `data` is the JSON text of the engine's `choices`;
     otherwise it is a part of the body.
     """
 
@@ -138,16 +137,16 @@
 
 
 class Begun(Message, kw_only=True):
-    """An attempt has started: from here on it may have had effect."""
+    """An attempt has started and may have an effect from now on."""
 
     attempt: str
 
 
 class Bill(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
-    """What one attempt used, to be billed once under its request and step.
+    """The usage of one attempt, to be billed once per request and step.
 
-    `ledger` names the ledger that its agent believes to hold it: that of
-    the start, or of the entry that recovered the bill last.
+    `ledger` names the ledger to which the agent sent the bill: that of the start,
+    or that of the entry to which the bill was reassigned last.
     """
 
     attempt: str
@@ -180,8 +179,8 @@
 class Ended(Message, kw_only=True):
     """A started attempt has ended.
 
-    `pieces` and `digest` (hexadecimal xxh3_64 of all pieces in order)
-    let the entry prove that it holds the whole answer.  `status` and
+    With `pieces`, their number, and `digest`, the hexadecimal xxh3_64 of all pieces
+    in order, the entry checks that it has the complete answer.  `status` and
     `headers` are the endpoint's own.
     """
 
@@ -213,7 +212,7 @@
 
 
 class NotStarted(Message, kw_only=True):
-    """An agent's vow: this attempt hasn't started and never will."""
+    """A tombstone: the agent hasn't started this attempt and never will."""
 
     attempt: str
     refusal: Refusal
@@ -221,7 +220,11 @@
 
 
 class UnknownAttempt(Message, kw_only=True):
-    """The agent that was asked is not the one that was given the attempt."""
+    """The agent can't say whether or how the attempt ran.
+
+    It is another incarnation than the one that was given the attempt, or its record
+    of the attempt has expired.
+    """
 
     attempt: str
 
@@ -229,9 +232,10 @@
 class Load(Message, kw_only=True):
     """An agent's heartbeat and load report.
 
-    `queued_tokens` wait in all; `queued_by` holds the organisations with
-    most of them, each with its tokens, and `patient_by` how many of these
-    are those of long jobs with time to spare.
+    `queued_tokens` is the number of all queued tokens.  `queued_by` holds the
+    organisations with most queued tokens, each with its number, and `patient_by`
+    how many of these belong to long jobs with time to spare.  `window` is the
+    concurrency limit, and `drain` the tokens per second that the endpoint works off.
     """
 
     endpoint: str
@@ -253,7 +257,7 @@
 
 
 class Crash(Message, kw_only=True):
-    """An engine died while these requests ran on it."""
+    """An engine crashed while requests with these fingerprints ran on it."""
 
     endpoint: str
     fingerprints: tuple[str, ...]
@@ -261,23 +265,23 @@
 
 
 class Cleared(Message, kw_only=True):
-    """These suspected requests ran whole and are innocent."""
+    """Suspected requests with these fingerprints completed without a crash."""
 
     fingerprints: tuple[str, ...]
 
 
 class Quarantined(Message, kw_only=True):
-    """Entries tell each other, and agents, of requests that crash endpoints."""
+    """The fingerprints of queries of death, sent to entries and agents."""
 
     fingerprints: tuple[str, ...]
 
 
 class Custody(Message, kw_only=True):
-    """An agent hands over bills that a lost entry never settled.
+    """Bills that an agent reassigns because their entry or ledger is gone.
 
-    `holders` are the ledgers of all entries that were given them before,
-    the first one first.  `into` is the ledger they are meant for: an entry
-    that was restarted since has another one and must not take them.
+    `holders` are the ledgers that were given the bills before, the oldest first.
+    `into` is the ledger that is to get them: an entry that has restarted since has
+    another one and must not accept them.
     """
 
     holders: tuple[str, ...]
@@ -288,9 +292,9 @@
 class Presence(Message, kw_only=True):
     """An entry's heartbeat to other entries and to its agents.
 
-    `ledger` names the ledger that takes recovered bills.  `answers` is the
-    question that the heartbeat answers, zero if it answers none: only an
-    answer was surely said after the question.
+    `ledger` names the ledger that accepts recovered bills.  `answers` repeats the
+    nonce of the `Hello` that this heartbeat answers, zero if it answers none.  Only
+    a heartbeat with the nonce was certainly sent after the `Hello`.
     """
 
     entry: str
@@ -302,9 +306,9 @@
 
 
 class WantDocument(Message, kw_only=True):
-    """Ask a peer for the document it has in force.
+    """Ask a peer for its current document.
 
-    `question` is repeated in the answer.
+    `question` is a nonce that is repeated in the answer.
     """
 
     revision: int
@@ -312,9 +316,9 @@
 
 
 class DocumentCopy(Message, kw_only=True):
-    """A peer's whole document, as MessagePack of a snapshot.
+    """A peer's complete document, as MessagePack of a snapshot.
 
-    `answers` is the question that it answers.
+    `answers` repeats the nonce of the `WantDocument` that it answers.
     """
 
     revision: int
@@ -323,7 +327,7 @@
 
 
 class Hello(Message, kw_only=True):
-    """Ask a peer for its heartbeat at once; `question` is repeated in it."""
+    """Ask a peer for an immediate heartbeat, which repeats the nonce `question`."""
 
     question: int = 0
 
@@ -355,10 +359,10 @@
 
 
 class MessageBatch(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
-    """What one process sends another in one go.
+    """The messages that one process sends to another in one iteration of its loop.
 
-    `address` is the sender's mailbox address, `incarnation` is new each
-    time the sender starts.
+    `address` is the sender's mailbox address, `incarnation` is new each time the
+    sender starts.
     """
 
     protocol: int = PROTOCOL
--- a/eelgrassrack/mailbox/socket.py
+++ b/eelgrassrack/mailbox/socket.py
@@ -1,13 +1,12 @@
-"""Sockets that carry parcels between entries and agents.
+"""Send and receive message batches between entries and agents.
 
-Each process listens on one PULL socket and dials one PUSH socket for
-each peer it writes to.  One receiving descriptor serves all peers, and a
-silent peer costs no processor time.  Messages for one receiver that are
-posted in the same tick of the loop leave as one parcel.
+Each process listens on one PULL socket and dials one PUSH socket for each peer to
+which it writes.  One receiving descriptor serves all peers, and an idle peer costs
+no processor time.  Messages for one receiver that are posted in the same iteration
+of the event loop are sent as one batch.
 
-Delivery is in order and at most once while a connection lasts.  A parcel
-is lost when its receiver is gone or too slow; whoever needs an answer
-asks again.
+Delivery is in order and at most once while a connection lasts.  A batch is lost if
+its receiver is gone or too slow; a sender that needs an answer must ask again.
 """
 
 import asyncio
@@ -26,33 +25,34 @@
 
 Deliver = Callable[[MessageBatch], None]
 
-# A receiver that is this many parcels behind is as good as gone.
+# In batches.  A receiver that falls behind by more than the send buffer loses
+# messages, like one that is gone.
 SEND_BUFFER_BATCHES = 256
 RECEIVE_BUFFER_BATCHES = 512
 
-# Parcels taken from the socket before other work gets its turn.
+# Batches read from the socket before the event loop continues with other work.
 BATCHES_PER_TURN = 64
 
 # A peer's socket is closed after this many seconds without a message.
 IDLE_SECONDS = 120.0
 
-# What waits for a peer that can't be reached for this many seconds is dropped.
-# The library would keep it for as long as the way is cut, and a start that
-# comes hours late finds an agent that has forgotten that it refused it.
+# The messages to a peer that has been unreachable for this many seconds are dropped.
+# The library would keep them until the connection is back, and a start message that
+# arrives hours late would find that the agent's record of its refusal has expired.
 UNREACHABLE_SECONDS = 30.0
 
-# Largest parcel: the longest body a caller may send, with room around it.
+# The largest batch: the longest body that a caller may send, with a margin.
 MAX_BATCH_BYTES = 4_000_000
 
-# The library starts two threads for each core and wakes all of them in turn
-# for a process that has work for one: that costs a third of an entry's CPU.
-# Fewer than two it doesn't take.
+# By default the library starts two threads per core and wakes all of them in turn,
+# even for the work of one thread, which costs a third of an entry's CPU time.  It
+# doesn't accept fewer than two task threads.
 TASK_THREADS = 2
 OTHER_THREADS = 1
 
 
 def limit_threads() -> None:
-    """Bound the library's threads; it heeds this before its first socket only."""
+    """Limit the library's threads; this works only before its first socket."""
     lib.nng_init_set_parameter(lib.NNG_INIT_NUM_TASK_THREADS, TASK_THREADS)
     for kind in (
         lib.NNG_INIT_NUM_EXPIRE_THREADS,
@@ -66,7 +66,11 @@
 
 
 class Peer:
-    """The sending side towards one receiver."""
+    """The sending side of the connection to one receiver.
+
+    `messages` wait for the end of the event loop's iteration.  `reached_at` is when
+    the receiver was last seen connected, `used_at` when something was last sent.
+    """
 
     __slots__ = ("messages", "reached_at", "socket", "used_at")
 
@@ -77,7 +81,7 @@
         self.used_at = now
 
     def is_active(self, now: float) -> bool:
-        """Tell whether the peer is written to and can be reached."""
+        """Return whether the peer was written to and connected recently."""
         if self.socket.pipes:
             self.reached_at = now
         is_reached = now - self.reached_at <= UNREACHABLE_SECONDS
@@ -85,7 +89,7 @@
 
 
 class Mailbox:
-    """Send messages to peers by address and deliver what they send."""
+    """Sends messages to peers by address and delivers the batches they send."""
 
     __slots__ = (
         "_closed",
@@ -111,9 +115,9 @@
         self._closed = False
 
     def open(self) -> None:
-        """Listen; `address` then holds the port that was given.
+        """Start to listen; `address` then holds the actual port.
 
-        Raise `MailboxError` when the address is taken or no address.
+        Raise `MailboxError` if the address is in use or invalid.
         """
         self._loop = asyncio.get_running_loop()
         pull = pynng.Pull0(
@@ -129,7 +133,7 @@
         self._loop.add_reader(pull.recv_fd, self._receive)
 
     def close(self) -> None:
-        """Send what is due and close all sockets."""
+        """Send the waiting messages and close all sockets."""
         if self._closed:
             return
         self._flush()
@@ -144,8 +148,8 @@
     def post(self, *, to: str, message: AnyMessage) -> None:
         """Send a message to the process that listens on `to`.
 
-        It leaves at the end of the loop's tick with all others for the
-        same receiver.
+        It is sent at the end of the event loop's iteration, in one batch with all
+        others for the same receiver.
         """
         if self._closed:
             return
@@ -155,7 +159,7 @@
             self._loop.call_soon(self._flush)
 
     def close_idle(self) -> None:
-        """Close the sockets of peers not written to, or not reached, for long."""
+        """Close the sockets of peers that have been idle or unreachable for long."""
         now = self._loop.time()
         idle = [name for name, peer in self._peers.items() if not peer.is_active(now)]
         for address in idle:
@@ -165,8 +169,8 @@
         peer = self._peers.get(address)
         if peer is None:
             socket = pynng.Push0(send_buffer_size=SEND_BUFFER_BATCHES)
-            # Without a cap the library waits ever longer between two tries,
-            # and a peer that came back after an outage would stay cut off.
+            # Without a cap the library's reconnect delay keeps growing, and a peer
+            # would stay cut off for long after an outage.  In milliseconds.
             socket.reconnect_time_min = 50
             socket.reconnect_time_max = 1000
             socket.dial(address, block=False)
@@ -192,9 +196,8 @@
         try:
             peer.socket.send(encode_batch(batch), block=False)
         except pynng.NNGException as error:
-            # A receiver that is gone or behind takes nothing more.  Its
-            # messages are lost, as they would be on a cut connection, and
-            # the sender's timeouts find that out.
+            # The receiver is gone or its buffer is full.  The messages are lost,
+            # as on a broken connection, and the sender's timeouts detect that.
             self.counts["lost"] += len(messages)
             log.debug(
                 "mailbox: {} messages to {} lost: {}", len(messages), address, error
--- a/test/agent/fakes.py
+++ b/test/agent/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds an agent's core: clock, endpoint, entries."""
+"""Fakes of what surrounds an agent's core: clock, endpoint and entries."""
 
 import asyncio
 
@@ -28,8 +28,8 @@
 FACTS = Facts(revision=1, serves=(VERSION,), concurrency=2, cold_concurrency=2)
 WHOLE = Completed(status=200, usage=Usage(prompt_tokens=3, completion_tokens=5))
 
-# Turns of the loop in which everything that is due has happened.
-TURNS = 8
+# Iterations of the event loop after which all pending work is done.
+LOOP_ITERATIONS = 8
 
 
 class Call:
@@ -43,7 +43,11 @@
 
 
 class FakeEngine:
-    """An endpoint that connects and ends when the test says so."""
+    """An endpoint whose connections and answers are controlled by the test.
+
+    `connects` is whether it accepts connections at once, and `refuses` whether it
+    refuses them.  `ran` lists the attempts that started.
+    """
 
     def __init__(self):
         self.connects = True
@@ -69,7 +73,7 @@
             call.outcome.set_result(outcome)
 
     def end_stopped(self):
-        """End what was stopped, as a closed connection does."""
+        """End the stopped exchanges, as their closed connections would."""
         for attempt, call in self.calls.items():
             if call.exchange.stopped:
                 call.connected.set()
@@ -151,7 +155,7 @@
         return self.now
 
     def answer(self, revision=1):
-        """Return the heartbeat that answers the agent's last question."""
+        """Return the heartbeat that confirms the facts after a pause."""
         return make_presence("e.1.1", revision=revision, answers=self.standing.question)
 
     def post(self, to, message):
@@ -161,14 +165,14 @@
         return self.alive
 
     async def take(self, *messages, sender=ENTRY, incarnation="e.1"):
-        """Deliver a parcel and return what the agent says to it."""
+        """Deliver a message batch and return the messages that the agent sends."""
         batch = MessageBatch(
             address=sender, incarnation=incarnation, messages=list(messages)
         )
         return await self.watch(lambda: self.inbox.deliver(batch))
 
     async def advance(self, seconds):
-        """Let time pass in ticks and return what the agent says."""
+        """Let time pass in ticks and return the messages that the agent sends."""
         said = []
         steps = max(round(seconds / 0.25), 1)
         for _ in range(steps):
@@ -183,7 +187,7 @@
         return [message for _, message in self.sent[begin:]]
 
     async def settle(self):
-        for _ in range(TURNS):
+        for _ in range(LOOP_ITERATIONS):
             self.engine.end_stopped()
             await asyncio.sleep(0)
             due, self.due[:] = list(self.due), []
--- a/test/agent/test_agent.py
+++ b/test/agent/test_agent.py
@@ -1,4 +1,4 @@
-"""Tests of an agent over real sockets, beside the stand-in endpoints."""
+"""Tests of an agent over real sockets, with stand-in endpoints."""
 
 import asyncio
 import contextlib
@@ -43,8 +43,8 @@
 LOOPBACK = "tcp://127.0.0.1:0"
 
 
-class Entry:
-    """An entry that only notes what it is sent."""
+class FakeEntry:
+    """An entry that only records the messages it receives."""
 
     def __init__(self, *, name):
         self.name = name
@@ -95,10 +95,10 @@
 
 @contextlib.asynccontextmanager
 async def run_agent(endpoint, *, entries=1, grace_seconds=20.0, store=None):
-    """Run an endpoint with its agent and some entries that greeted it."""
+    """Run an endpoint and its agent, which has received facts from some entries."""
     await endpoint.start()
     table = InstanceTable()
-    known = [Entry(name=f"e{number}") for number in range(entries)]
+    known = [FakeEntry(name=f"e{number}") for number in range(entries)]
     for entry in known:
         table.join(make_instance(entry))
     settings = AgentSettings(
@@ -205,9 +205,9 @@
 def test_a_faulty_answer_is_never_called_whole(fault, finish, stream):
     """An engine answers wrongly, or not at all.
 
-    It ends early, sends another request's answer, bytes that are no answer,
-    or nothing. Passed on as whole, a caller would act on half a review or
-    on somebody else's scores.
+    It ends early, sends the answer to another request, sends garbage, or sends
+    nothing. If the agent reported the answer as complete, a caller would act on
+    half a review or on somebody else's scores.
     """
 
     async def play():
@@ -227,11 +227,12 @@
     asyncio.run(play())
 
 
-def test_a_crash_is_told_apart_and_survived():
-    """The engine dies under two streams and comes back cold.
+def test_a_crash_is_detected_and_survived():
+    """The engine crashes during two streams and restarts cold.
 
-    Their callers learn that the answers are lost, the entries learn what
-    ran, and the returning engine is given no more than a cold one bears.
+    The callers must learn that their answers are lost, and the entries which
+    requests ran. The restarted engine must not get more load than a cold one can
+    handle.
     """
 
     async def play():
@@ -257,7 +258,7 @@
 
 
 async def run_until_started(agent, entry):
-    """Send starts until one isn't refused, as an entry does."""
+    """Send starts until one isn't refused, like a retrying entry."""
     numbers = itertools.count()
     while True:
         attempt = f"c{next(numbers)}"
@@ -273,10 +274,10 @@
 
 
 def test_a_request_is_sent_once_on_a_connection_that_breaks():
-    """The endpoint takes a request on a kept connection and breaks off.
+    """The endpoint reads a request on a kept-alive connection and closes it.
 
-    It does so when it crashes. A client that sends the request again on a
-    new connection runs it twice: the registrar issues two certificates.
+    That happens when it crashes. A client that resends the request on a new
+    connection runs it twice: the registrar issues two certificates.
     """
 
     async def play():
@@ -316,7 +317,7 @@
 
 
 class BareEndpoint:
-    """An endpoint of one coroutine."""
+    """An endpoint whose connections are served by one coroutine function."""
 
     def __init__(self, serve):
         self._serve = serve
@@ -339,7 +340,7 @@
         writer.close()
 
 
-def test_a_plain_service_gets_the_request_as_it_is():
+def test_a_plain_service_gets_the_request_unchanged():
     async def play():
         service = PlainService(name="s")
         async with run_agent(service) as (agent, _, (entry,)):
@@ -367,8 +368,8 @@
 def test_a_planned_stop_cuts_nothing():
     """An operator stops the instance while answers stream.
 
-    One start waits in its queue and another is on its way. The answers end
-    whole and are billed; the starts are refused at once, truthfully, so that
+    One start is queued and another one arrives later. The running answers must
+    complete and be billed. The starts must be refused at once as not run, so that
     they run elsewhere.
     """
 
@@ -404,18 +405,18 @@
 
 
 class SlowStore(TableStore):
-    """An object API that takes its time for each read."""
+    """An object API in which each read takes a second."""
 
     async def read(self, **key):
         await asyncio.sleep(1.0)
         return await super().read(**key)
 
 
-def test_no_answer_becomes_whole_while_a_stopped_agent_settles_bills():
-    """An answer becomes whole after the last look at bills and goes unbilled.
+def test_no_answer_completes_while_a_stopping_agent_settles_bills():
+    """An answer completes after the bills were collected, and is never billed.
 
-    The grace of an agent is over, no entry has settled its bills, and it does
-    so itself; meanwhile another answer comes to its end.
+    The grace period of a stopping agent is over and no entry has settled its bills,
+    so it settles them itself. Meanwhile another answer completes.
     """
 
     async def play():
@@ -441,10 +442,10 @@
 
 
 def test_bills_of_a_lost_entry_go_to_another():
-    """An entry dies before the bill of an ended answer is in its ledger.
+    """An entry crashes before the bill of an ended answer is in its ledger.
 
-    The agent hands the bill to another entry and names the lost ledger, so
-    that it is billed, and only once.
+    The agent must reassign the bill to another entry and name the lost ledger, so
+    that the answer is billed exactly once.
     """
 
     async def play():
--- a/test/agent/test_answers.py
+++ b/test/agent/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of what counts as a whole answer."""
+"""Tests of which answers count as complete."""
 
 import json
 
--- a/test/agent/test_custody.py
+++ b/test/agent/test_custody.py
@@ -1,4 +1,4 @@
-"""Tests of bills that wait for an entry to settle them."""
+"""Tests of bills that no entry has settled yet."""
 
 import asyncio
 
@@ -31,8 +31,8 @@
     asyncio.run(play())
 
 
-async def beat(station, seconds, *entries):
-    """Let time pass while these entries give signs of life."""
+async def advance(station, seconds, *entries):
+    """Let time pass while these entries send a heartbeat every second."""
     said = []
     for _ in range(round(seconds)):
         for address, incarnation, ledger in entries:
@@ -48,38 +48,38 @@
 
 
 def test_an_unsettled_bill_is_sent_again():
-    """The parcel with the end of an answer is lost, or that with its settling.
+    """The message with the end of an answer is lost, or the one that settles its bill.
 
-    The bill would wait in the agent for good and be lost with it.
+    Without a resend the bill would stay in the agent and be lost with it.
     """
 
     async def scenario(station):
         entry = (ENTRY, "e.1", "e.1.1")
-        said = await beat(station, RESEND_SECONDS + 1, entry)
+        said = await advance(station, RESEND_SECONDS + 1, entry)
         assert [ended.bill.attempt for ended in find(said, Ended)] == ["a"]
         assert find(said, Custody) == []
         await station.take(Settle(attempts=("a",)))
-        said = await beat(station, 3 * RESEND_SECONDS, entry)
+        said = await advance(station, 3 * RESEND_SECONDS, entry)
         assert find(said, Ended) == []
 
     run(scenario)
 
 
 def test_the_chain_of_ledgers_grows_with_each_loss():
-    """The entry is lost, then the one that was to recover its bills.
+    """An entry is lost, and then the entry that was to recover its bills.
 
-    Either may have written the bill before.  The third has to look into
-    both ledgers, or the caller pays twice.
+    Either may have written the bill before.  The third entry has to read both
+    ledgers, or the caller pays twice.
     """
 
     async def scenario(station):
         other = (OTHER, "f.1", "f.1.1")
         third = (THIRD, "g.1", "g.1.1")
-        said = await beat(station, 15, other)
+        said = await advance(station, 15, other)
         custody = find(said, Custody)[0]
         assert custody.holders == ("e.1.1",)
         assert (custody.into, custody.bills[0].ledger) == ("f.1.1", "f.1.1")
-        said = await beat(station, 15, third)
+        said = await advance(station, 15, third)
         custody = find(said, Custody)[-1]
         assert custody.holders == ("e.1.1", "f.1.1")
         assert custody.into == "g.1.1"
@@ -89,15 +89,17 @@
 
 @pytest.mark.parametrize("restarted", [True, False])
 def test_a_new_ledger_at_the_same_entry_is_another_holder(restarted):
-    """An entry was restarted, or closed its ledger with the bill not in it.
+    """An entry was restarted, or closed its ledger before it wrote the bill.
 
-    Its new ledger doesn't know what the old one holds.
+    The new ledger doesn't show whether the old one holds the bill.
     """
 
     async def scenario(station):
         incarnation = "e.2" if restarted else "e.1"
         entry = (ENTRY, incarnation, "e.2.1")
-        said = await beat(station, 2 if restarted else CLOSED_LEDGER_SECONDS + 2, entry)
+        said = await advance(
+            station, 2 if restarted else CLOSED_LEDGER_SECONDS + 2, entry
+        )
         custody = find(said, Custody)[0]
         assert (custody.holders, custody.into) == (("e.1.1",), "e.2.1")
 
@@ -114,9 +116,9 @@
 
 
 def test_no_work_is_taken_while_too_many_bills_wait(monkeypatch):
-    """The store is away for hours and no entry can settle a bill.
+    """The store is unavailable for hours and no entry can settle a bill.
 
-    The agent's memory is bounded; it refuses new work, not run, rather
+    The agent's memory is bounded. It must refuse new attempts as not run rather
     than drop a bill.
     """
 
--- a/test/agent/test_entries.py
+++ b/test/agent/test_entries.py
@@ -1,4 +1,4 @@
-"""Tests of which entries an agent talks to."""
+"""Tests of which entries an agent chooses as parents and counts as lost."""
 
 from eelgrassrack.agent.entries import (
     ACTIVE_SECONDS,
@@ -39,12 +39,12 @@
     assert stays[:2] == parents[1:]
 
 
-def test_an_entry_with_a_long_answer_hears_the_heartbeat():
-    """A caller waits for a long review through an entry that is no parent.
+def test_an_entry_with_a_long_answer_gets_heartbeats():
+    """A caller waits for a long answer through an entry that isn't a parent.
 
-    The entry says nothing meanwhile.  Without heartbeats it would take the
-    agent for dead after some seconds and tell the caller that the answer is
-    lost, though it is being made.
+    The entry sends nothing meanwhile.  Without heartbeats it would consider the
+    agent lost after some seconds and tell the caller that the answer is lost,
+    although it is still being generated.
     """
     entries = make_entries()
     parents = entries.find_parents(now=0.0)
@@ -56,11 +56,11 @@
     assert other in entries.find_heartbeat_receivers(served=(other,), now=late)
 
 
-def test_silence_during_an_own_pause_accuses_nobody():
-    """The agent itself is frozen for a minute, while all entries are well.
+def test_no_entry_is_lost_after_a_pause_of_the_agent():
+    """The agent itself is frozen for a minute, while all entries are up.
 
-    It heard none of them.  Were it to take all for lost it would hand every
-    bill over and have all their ledgers sealed under them.
+    It received nothing from them.  If it considered them lost, it would reassign
+    every bill, and all their ledgers would be sealed while in use.
     """
     entries = make_entries()
     entries.note_message(address=ADDRESSES[0], incarnation="e.1", now=0.0)
--- a/test/agent/test_health.py
+++ b/test/agent/test_health.py
@@ -22,10 +22,10 @@
 
 
 def test_an_engine_that_restarts_between_two_polls_is_cold():
-    """An engine crashes and is back before anybody looks.
+    """An engine crashes and is up again before the next poll.
 
-    It answers each poll, but its caches are gone.  Given its full load at
-    once it falls over again, and its callers lose their answers again.
+    It answers each poll, but its caches are empty.  Under full load it would
+    crash again at once, and its callers would lose their answers again.
     """
     health, collapses = note_all(
         HealthReport(incarnation="a"), HealthReport(incarnation="b")
@@ -43,7 +43,7 @@
     ]
 
 
-def test_a_cold_start_is_taken_once_each_time():
+def test_each_cold_start_is_reported_once():
     cold = HealthReport(incarnation="a", cold=True)
     warm = HealthReport(incarnation="a")
     assert (
@@ -51,11 +51,11 @@
     )
 
 
-def test_a_late_answer_is_no_restart():
-    """An engine under full load answers a poll too late, once.
+def test_a_missed_poll_is_not_a_restart():
+    """An engine under full load answers a single poll too late.
 
-    It is the same one as before. Were its window closed for that, callers
-    would wait behind a few slots of an engine that bears many.
+    It hasn't restarted. If its window shrank, callers would queue for a few slots
+    of an engine that can handle many.
     """
     same = HealthReport(incarnation="a")
     health, collapses = note_all(same, EndpointDown(), same)
--- a/test/agent/test_records.py
+++ b/test/agent/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of what is remembered of attempts after their end."""
+"""Tests of the records of attempts that are no longer kept."""
 
 import pytest
 
@@ -20,12 +20,12 @@
     return NotStarted(attempt=key, refusal=Refusal.FULL)
 
 
-def test_an_attempt_that_ran_is_never_called_unseen():
+def test_an_attempt_that_ran_is_never_reported_as_unseen():
     """A caller resends a price submission days after its entry was lost.
 
-    Another entry finds the claim and asks the agent that ran it.  Were the
-    agent to have forgotten and vow that it never saw the attempt, the
-    submission would run again and be counted twice.
+    Another entry finds the claim and asks the agent that ran it.  If the agent had
+    forgotten the attempt and answered that it never saw it, the submission would
+    run again and be counted twice.
     """
     kept = AttemptRecords(now=0.0)
     kept.add(key="a", message=make_ended("a"), now=0.0)
@@ -35,10 +35,10 @@
 
 
 def test_a_refusal_outlives_a_full_table(monkeypatch):
-    """An overloaded agent refuses more attempts than its table holds.
+    """An overloaded agent refuses more attempts than its table of records holds.
 
-    A start that comes late, after its refusal was passed on to the caller,
-    must still not run.
+    A start that arrives after its refusal was passed on to the caller must still
+    not run.
     """
     monkeypatch.setattr(records, "MAX_RECORDS", 2)
     kept = AttemptRecords(now=0.0)
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("make_message", [make_ended, make_refused])
-def test_full_digests_are_told(monkeypatch, make_message):
+def test_is_full_when_the_digests_are_full(monkeypatch, make_message):
     monkeypatch.setattr(records, "MAX_RECORDS", 1)
     monkeypatch.setattr(records, "MAX_DIGESTS", 3)
     kept = AttemptRecords(now=0.0)
--- a/test/agent/test_runner.py
+++ b/test/agent/test_runner.py
@@ -1,4 +1,4 @@
-"""Tests of what starts when, and of what entries are told about it."""
+"""Tests of when attempts start and of the messages that entries receive."""
 
 import asyncio
 
@@ -78,10 +78,10 @@
 def test_queued_work_is_refused_after_a_change(facts, refusal, connected):
     """Work waits at a full endpoint while an operator changes the document.
 
-    The version is withdrawn, the failure domain taken out or the endpoint
-    drained. A version found bad would go on answering callers for as long
-    as the queue lasts; they must be told at once that it didn't run. What
-    runs already is left to end.
+    The version is withdrawn, the failure domain taken out or the endpoint drained.
+    Otherwise a bad version would go on answering callers until the queue is empty.
+    Callers must be told at once that their requests didn't run. Attempts that
+    already run may end.
     """
 
     async def scenario(station):
@@ -103,11 +103,11 @@
 
 
 def test_start_of_a_newer_revision_waits_for_its_facts():
-    """An entry knows of a newer document than the agent.
+    """An entry has a newer document than the agent.
 
-    That document may say that the version is withdrawn. The agent asks for
-    it and holds the start; with no answer it refuses, and the caller is
-    served by another endpoint.
+    The version may be withdrawn in that document. The agent must ask for newer
+    facts and defer the start; without an answer it must refuse the start, and the
+    caller is served by another endpoint.
     """
 
     async def scenario(station):
@@ -126,10 +126,9 @@
 def test_nothing_starts_after_a_pause_until_the_revision_is_confirmed():
     """The instance is frozen for a minute with work queued.
 
-    The version is withdrawn meanwhile. When the agent wakes, a presence
-    from before the pause still lies in its socket; it would start the
-    queued work on the strength of that, and callers would get answers of a
-    withdrawn version.
+    The version is withdrawn meanwhile. When the agent resumes, its socket still
+    holds a presence message from before the pause. If that confirmed the facts, the
+    queued work would start and callers would get answers of a withdrawn version.
     """
 
     async def scenario(station):
@@ -147,12 +146,12 @@
     run(scenario)
 
 
-def test_words_from_before_a_pause_confirm_nothing_however_late_they_come():
-    """What an entry said before a withdrawal comes after the agent has asked.
+def test_messages_from_before_a_pause_never_confirm_the_facts():
+    """Messages sent before a withdrawal arrive after the agent has asked.
 
-    The agent's instance was frozen for a minute, and its peers' parcels from
-    the first second of it are sent again long after it woke. They come after
-    its question but are no answer to it.
+    The agent's instance was frozen for a minute, and its peers' messages from the
+    first second of the pause are resent long after it resumed. They arrive after
+    its question but don't answer it.
     """
 
     async def scenario(station):
@@ -169,7 +168,7 @@
     run(scenario)
 
 
-def test_confirmed_work_goes_on_after_a_pause():
+def test_queued_work_starts_once_the_facts_are_confirmed():
     async def scenario(station):
         await station.take(make_start("a"), make_start("b"), make_start("c"))
         station.now += 40.0
@@ -182,9 +181,9 @@
 
 
 def test_duplicates_and_late_starts_run_once():
-    """A start is sent twice, comes after its cancellation, or after its end.
+    """A start arrives twice, after its cancellation, or after its end.
 
-    A credential would be issued twice if any of them ran again.
+    If any of these ran again, a credential would be issued twice.
     """
 
     async def scenario(station):
@@ -202,11 +201,12 @@
     run(scenario)
 
 
-def test_a_restarted_agent_vows_nothing_for_its_predecessor():
+def test_a_restarted_agent_never_answers_for_its_earlier_incarnation():
     """The agent was restarted while an attempt ran.
 
-    Its entry asks the new one what became of it, or cancels it. "Not run"
-    would be a lie that lets the caller send a price submission twice.
+    Its entry asks the new incarnation for the attempt's state, or cancels it. The
+    answer "not run" would be wrong, and the caller would resend a price submission
+    that ran.
     """
 
     async def scenario(station):
@@ -222,7 +222,7 @@
     run(scenario)
 
 
-def test_cancel_stops_what_runs_and_bills_what_was_made():
+def test_cancel_stops_a_running_attempt_and_bills_its_tokens():
     async def scenario(station):
         await station.take(make_start("a", stream=True))
         station.engine.calls["a"].on_piece(b"one")
@@ -236,11 +236,11 @@
     run(scenario)
 
 
-def test_the_window_bounds_what_runs():
-    """The engine falls back into a cold start while its queue is long.
+def test_the_window_limits_running_attempts():
+    """The engine reports a cold start while its queue is long.
 
-    Given all that a warm engine bears it would fall over, and all callers
-    lose their answers.
+    Under the full load of a warm engine it would crash, and all callers would lose
+    their answers.
     """
 
     async def scenario(station):
@@ -256,11 +256,11 @@
     run(scenario)
 
 
-def test_what_changes_during_the_connection_counts():
-    """The endpoint is slow to take connections, and much happens meanwhile.
+def test_changes_while_the_connection_is_made_are_respected():
+    """The endpoint is slow to accept connections, and the situation changes.
 
-    It reports a cold start, or the agent is paused.  What was free to start
-    before would now fell the endpoint, or run a withdrawn version.
+    It reports a cold start, or the agent is paused.  An attempt that could start
+    before might now overload the endpoint, or run a withdrawn version.
     """
 
     async def scenario(station):
@@ -286,7 +286,7 @@
         call.connected.set()
 
 
-def test_alone_means_nothing_beside_it():
+def test_an_attempt_that_runs_alone_has_no_concurrent_ones():
     async def scenario(station):
         await station.take(make_start("a"))
         await station.take(make_start("b", alone=True, fingerprint="f"))
@@ -301,11 +301,11 @@
     run(scenario)
 
 
-def test_a_crash_names_all_that_ran():
-    """One request crashes the engine and cuts all that ran beside it.
+def test_a_crash_report_names_all_running_attempts():
+    """One request crashes the engine and cuts off all concurrent ones.
 
-    Unless all are named, its resend crashes the next endpoint, and the one
-    after that.
+    Unless all of them are reported, a resend of that request crashes the next
+    endpoint, and the one after that.
     """
 
     async def scenario(station):
@@ -327,7 +327,7 @@
     run(scenario)
 
 
-def test_one_broken_connection_accuses_nobody():
+def test_one_broken_connection_is_not_reported_as_a_crash():
     async def scenario(station):
         await station.take(make_start("a", fingerprint="f"), make_start("b"))
         said = await station.end("a", ConnectionBroken(reason="reset"))
@@ -337,11 +337,11 @@
     run(scenario)
 
 
-def test_no_connection_means_not_run():
+def test_without_a_connection_an_attempt_has_not_run():
     """The engine is down but its last health report was good.
 
-    Nothing was sent, so the caller's request may go elsewhere, also one
-    that may not be repeated.
+    Nothing was sent, so the request may run at another endpoint, even if it is not
+    repeatable.
     """
 
     async def scenario(station):
@@ -354,9 +354,9 @@
 
 
 def test_late_and_silent_attempts_are_ended():
-    """An engine never answers, or stops in mid-answer.
+    """An engine never answers, or stops in the middle of an answer.
 
-    Its caller would wait for ever and the slot would be lost.
+    Without timeouts its caller would wait forever and the slot would never be freed.
     """
 
     async def scenario(station):
@@ -376,11 +376,10 @@
 
 
 def test_an_answer_can_be_taken_over_without_its_bill():
-    """The entry that relayed an answer is lost and another one goes on.
+    """The entry that relayed an answer is lost and another entry takes over.
 
-    The other entry needs all pieces from the first one it lacks. The bill
-    stays with the first entry's ledger: in both, the request would be
-    billed twice.
+    The other entry needs all pieces that it lacks. The bill stays with the ledger of
+    the first entry: if both had it, the request would be billed twice.
     """
 
     async def scenario(station):
@@ -404,7 +403,7 @@
     return isinstance(message, Piece)
 
 
-def test_a_bad_answer_is_no_whole_answer():
+def test_a_failed_answer_is_not_complete():
     async def scenario(station):
         await station.take(make_start("a"), make_start("b"))
         said = await station.end("a", AnswerFailed(reason="early", cut=True))
--- a/test/mailbox/test_socket.py
+++ b/test/mailbox/test_socket.py
@@ -1,4 +1,4 @@
-"""Tests of parcels over real sockets."""
+"""Tests of message batches over real sockets."""
 
 import asyncio
 
@@ -45,10 +45,10 @@
     assert received[0].address == address
 
 
-def test_garbage_on_the_wire_costs_only_itself():
-    """Another program writes to the port, or a newer release does.
+def test_garbage_does_not_affect_other_messages():
+    """Another program, or a newer release, writes to the port.
 
-    Its bytes are no parcel.  Parcels of true peers still come in.
+    Its bytes aren't a message batch.  Batches of real peers must still arrive.
     """
 
     async def scenario():
@@ -72,7 +72,7 @@
 def test_a_peer_that_returns_is_reached_again():
     """A peer's instance is replaced and listens at the same address again.
 
-    What was sent meanwhile may be lost; what is sent later arrives.
+    Messages sent meanwhile may be lost; later ones must arrive.
     """
 
     async def scenario():
@@ -95,12 +95,13 @@
     asyncio.run(asyncio.wait_for(scenario(), TIMEOUT_SECONDS))
 
 
-def test_what_waits_for_a_peer_isnt_kept_until_others_have_forgotten_it(monkeypatch):
-    """A start comes hours late, when its agent has forgotten that it refused it.
+def test_messages_to_an_unreachable_peer_are_dropped(monkeypatch):
+    """A start arrives hours late, when the agent's record of its refusal has expired.
 
-    The way from one entry to an agent is cut for hours, and the library
-    keeps the start. The entry gave it up, a resend through another entry made
-    the agent vow never to start it and was run elsewhere.
+    The connection from an entry to an agent is cut for hours, and the library keeps
+    the start message. The entry has given up the attempt. A resend through another
+    entry made the agent record a tombstone for the attempt, and then ran elsewhere.
+    If the late start ran as well, the request would run twice.
     """
     monkeypatch.setattr(socket, "UNREACHABLE_SECONDS", 0.2, raising=False)
 
