--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -220,7 +220,7 @@
         while not self._may_close(self._clock() - began):
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         cut = len(self._attempts.running)
-        # An attempt that completed while bills are being settled would add a bill
+        # An attempt that completes while bills are being settled would add a bill
         # that nobody settles.
         self._runner.cut_all("the agent stopped")
         self._outbox.flush()
--- a/eelgrassrack/agent/attemptqueue.py
+++ b/eelgrassrack/agent/attemptqueue.py
@@ -25,23 +25,23 @@
 class AttemptQueue:
     """The waiting attempts.
 
-    `deferred` holds those that wait for newer facts, by name.  `drain` is the
-    measured rate of the endpoint.
+    `deferred` holds those that wait for newer facts, by name.  `drain_rate`
+    is the measured rate of the endpoint.
     """
 
     __slots__ = (
         "_attempts",
-        "_retries",
         "_bytes",
-        "_tokens_by",
         "_patient_tokens_by",
         "_queue",
-        "drain",
+        "_retries",
+        "_tokens_by",
         "deferred",
+        "drain_rate",
     )
 
     def __init__(self) -> None:
-        self.drain = DrainRate()
+        self.drain_rate = DrainRate()
         self.deferred: dict[str, Attempt] = {}
         self._queue = FairQueue()
         self._attempts: dict[str, Attempt] = {}
@@ -91,7 +91,7 @@
         alike = patient if _is_patient(attempt) else own - patient
         backlog = Backlog(
             tokens=self.tokens,
-            drain=self.drain.find_rate(window=window),
+            drain=self.drain_rate.find_rate(window=window),
             own=count_ahead(own=own, alike=alike),
             weights=sum(weights.get(name, 1.0) for name in waiting),
         )
@@ -107,7 +107,7 @@
         Each refusal reserves the next free time at the drain rate, so that callers
         refused together don't retry together.
         """
-        rate = self.drain.find_rate(window=window)
+        rate = self.drain_rate.find_rate(window=window)
         if not rate:
             return find_retry_after(0.0)
         ahead = self._retries.reserve(amount=tokens, rate=rate, now=now)
--- a/eelgrassrack/agent/attempts.py
+++ b/eelgrassrack/agent/attempts.py
@@ -15,7 +15,7 @@
 
 # An attempt without a bill is kept for as long as an entry may need to detect
 # that a message batch was lost.
-FAILED_RETENTION_SECONDS = 30.0
+UNBILLED_RETENTION_SECONDS = 30.0
 
 # A billed attempt is kept for at least this long after its end, even if its bill
 # is settled sooner.  An entry may settle the bill while it still lacks pieces of
@@ -94,7 +94,7 @@
     def may_be_forgotten(self, now: float) -> bool:
         """Return whether no entry can still lack a piece of this ended attempt."""
         is_billed = self.ended.bill is not None
-        kept = BILLED_RETENTION_SECONDS if is_billed else FAILED_RETENTION_SECONDS
+        kept = BILLED_RETENTION_SECONDS if is_billed else UNBILLED_RETENTION_SECONDS
         return now - self.ended_at > kept
 
 
@@ -124,7 +124,7 @@
         return self.live.get(key) or self._records.find(key=key)
 
     def find_by_phase(self, phase: Phase) -> list[Attempt]:
-        """Return the live attempts in this phase, oldest first."""
+        """Return the live attempts in this phase, in order of arrival."""
         return [each for each in self.live.values() if each.phase is phase]
 
     def add(self, attempt: Attempt) -> bool:
--- a/eelgrassrack/agent/core.py
+++ b/eelgrassrack/agent/core.py
@@ -113,7 +113,7 @@
             queued_tokens=self.queue.tokens,
             queued_by=self.queue.find_largest(),
             patient_by=self.queue.find_patient(),
-            drain=self.queue.drain.find_rate(window=self.window.size),
+            drain=self.queue.drain_rate.find_rate(window=self.window.size),
             leaving=self.state.is_leaving(),
             cold=self.window.is_cold,
             engine_up=self.state.engine_up,
--- a/eelgrassrack/agent/drainrate.py
+++ b/eelgrassrack/agent/drainrate.py
@@ -6,7 +6,7 @@
 first burst would be refused.
 """
 
-# Weight of a new answer in the moving average, which spans about ten answers.
+# Weight of a new answer in the moving average, which spans about the last ten.
 AVERAGE_WEIGHT = 0.2
 
 # Without a lower bound an answer of no measurable duration would give an
@@ -20,21 +20,23 @@
 
 
 class DrainRate:
-    """The moving average of the rate of one slot, `speed`, in tokens per second."""
+    """The moving average of the rate of one slot, in tokens per second."""
 
-    __slots__ = ("speed",)
+    __slots__ = ("slot_rate",)
 
     def __init__(self) -> None:
-        self.speed = 0.0
+        self.slot_rate = 0.0
 
     def observe(self, *, tokens: int, seconds: float) -> None:
         """Add one complete answer to the average."""
-        speed = tokens / max(seconds, MIN_ANSWER_SECONDS)
-        self.speed += AVERAGE_WEIGHT * (speed - self.speed) if self.speed else speed
+        rate = tokens / max(seconds, MIN_ANSWER_SECONDS)
+        self.slot_rate += (
+            AVERAGE_WEIGHT * (rate - self.slot_rate) if self.slot_rate else rate
+        )
 
     def find_rate(self, *, window: int) -> float:
         """Return the tokens per second of all slots, zero if not measured yet."""
-        return self.speed * window
+        return self.slot_rate * window
 
 
 def find_retry_after(wait: float) -> float:
--- a/eelgrassrack/agent/entries.py
+++ b/eelgrassrack/agent/entries.py
@@ -127,12 +127,12 @@
         sends nothing during a long answer; without heartbeats it would give up
         the answer as lost.
         """
-        spoke = (
+        active = (
             entry.address
             for entry in self._by_address.values()
             if entry.incarnation and now - entry.last_seen_at < ACTIVE_SECONDS
         )
-        return list(dict.fromkeys([*self.find_parents(now=now), *spoke, *served]))
+        return list(dict.fromkeys([*self.find_parents(now=now), *active, *served]))
 
     def find_successor(self, *, ledger: str, now: float) -> EntryRecord | None:
         """Return the entry that takes over the bills of a ledger, or None.
--- a/eelgrassrack/agent/intake.py
+++ b/eelgrassrack/agent/intake.py
@@ -61,9 +61,9 @@
         for attempt in live:
             if attempt.phase is not Phase.QUEUED:
                 continue
-            verdict = self._core.check_admission(attempt)
-            if isinstance(verdict, Refused):
-                self._core.refuse(attempt, verdict.refusal)
+            decision = self._core.check_admission(attempt)
+            if isinstance(decision, Refused):
+                self._core.refuse(attempt, decision.refusal)
 
     def tick(self) -> None:
         """Refuse attempts that have waited too long."""
--- a/eelgrassrack/agent/outbox.py
+++ b/eelgrassrack/agent/outbox.py
@@ -26,7 +26,7 @@
 class Outbox:
     """Posts messages in order, after a short delay and together."""
 
-    __slots__ = ("_due", "_schedule", "_post", "_posted_bytes", "_waiting")
+    __slots__ = ("_due", "_post", "_posted_bytes", "_schedule", "_waiting")
 
     def __init__(
         self,
--- a/eelgrassrack/agent/records.py
+++ b/eelgrassrack/agent/records.py
@@ -54,8 +54,8 @@
         "_by_attempt",
         "_refused",
         "_refused_previous",
-        "_started",
         "_rotated_at",
+        "_started",
     )
 
     def __init__(self, *, now: float) -> None:
--- a/eelgrassrack/agent/runner.py
+++ b/eelgrassrack/agent/runner.py
@@ -236,7 +236,7 @@
         now = core.clock()
         start = attempt.start
         core.window.complete(now=now, began=attempt.began)
-        core.queue.drain.observe(tokens=start.tokens, seconds=now - attempt.began)
+        core.queue.drain_rate.observe(tokens=start.tokens, seconds=now - attempt.began)
         self._end(
             attempt,
             Finish.WHOLE,
--- a/test/agent/test_attempts.py
+++ b/test/agent/test_attempts.py
@@ -241,7 +241,7 @@
 
 
 class Watched(list):
-    """Tell the machine of each request the endpoint sees."""
+    """A list that reports each appended attempt to the state machine."""
 
     def __init__(self, machine):
         super().__init__()
