--- a/eelgrassrack/agent/drainrate.py
+++ b/eelgrassrack/agent/drainrate.py
@@ -1,40 +1,44 @@
-"""How fast an endpoint works off its queue.
+"""The rate at which an endpoint works off its queue.
 
-The speed is that of one slot of the window, in tokens a second, averaged
-over the last answers.  It holds at any load, while a count of tokens by
-time would call an idle endpoint slow and refuse the first burst.
+The rate is measured per slot of the concurrency window, in tokens per second,
+and averaged over the latest answers.  It doesn't depend on the load.  Counting
+tokens per second of the whole endpoint would make an idle one look slow, and the
+first burst would be refused.
 """
 
-# Weight of one more answer; the average spans about the last ten.
-SHARE = 0.2
+# Weight of a new answer in the moving average, which spans about the last ten.
+AVERAGE_WEIGHT = 0.2
 
-# Without a floor an answer of no measurable duration gives a speed without
-# bound.
-SHORTEST = 0.001
+# Without a lower bound an answer of no measurable duration would give an
+# unbounded rate.
+MIN_ANSWER_SECONDS = 0.001
 
-# A caller that is told to come back at once only adds to the overload.
-LEAST_RETRY = 0.2
-LONGEST_RETRY = 60.0
+# Bounds of the Retry-After of refused callers.  A caller that is told to retry at
+# once only adds to the overload.
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 60.0
 
 
 class DrainRate:
-    """The measured speed of a slot."""
+    """The moving average of the rate of one slot, in tokens per second."""
 
-    __slots__ = ("speed",)
+    __slots__ = ("slot_rate",)
 
     def __init__(self) -> None:
-        self.speed = 0.0
+        self.slot_rate = 0.0
 
     def observe(self, *, tokens: int, seconds: float) -> None:
-        """Take one whole answer into the average."""
-        speed = tokens / max(seconds, SHORTEST)
-        self.speed += SHARE * (speed - self.speed) if self.speed else speed
+        """Add one complete answer to the average."""
+        rate = tokens / max(seconds, MIN_ANSWER_SECONDS)
+        self.slot_rate += (
+            AVERAGE_WEIGHT * (rate - self.slot_rate) if self.slot_rate else rate
+        )
 
     def find_rate(self, *, window: int) -> float:
-        """Return the tokens a second of all slots, zero when not known."""
-        return self.speed * window
+        """Return the tokens per second of all slots, zero if not measured yet."""
+        return self.slot_rate * window
 
 
 def find_retry_after(wait: float) -> float:
-    """Return when a refused caller should come back."""
-    return min(max(wait, LEAST_RETRY), LONGEST_RETRY)
+    """Return in how many seconds a refused caller should retry."""
+    return min(max(wait, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
--- a/test/agent/test_health.py
+++ b/test/agent/test_health.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from eelgrassrack.agent.health import Down, Health, Report
+from eelgrassrack.agent.health import EndpointDown, Health, HealthReport
 from eelgrassrack.decisions.coldstart import CollapseReason
 
 
@@ -22,40 +22,44 @@
 
 
 def test_an_engine_that_restarts_between_two_polls_is_cold():
-    """An engine crashes and is back before anybody looks.
+    """An engine crashes and is up again before the next poll.
 
-    It answers each poll, but its caches are gone.  Given its full load at
-    once it falls over again, and its callers lose their answers again.
+    It answers each poll, but its caches are empty.  Under full load it would
+    crash again at once, and its callers would lose their answers again.
     """
-    health, collapses = note_all(Report(incarnation="a"), Report(incarnation="b"))
+    health, collapses = note_all(
+        HealthReport(incarnation="a"), HealthReport(incarnation="b")
+    )
     assert collapses == [CollapseReason.ENGINE_RESTARTED]
     assert health.restarted_at == 7.0
 
 
 def test_down_and_up_again_is_a_restart():
-    health, collapses = note_all(Report(), Down(), Down())
+    health, collapses = note_all(HealthReport(), EndpointDown(), EndpointDown())
     assert not health.is_up
     assert collapses == []
-    assert note_all(Report(), Down(), Report())[1] == [CollapseReason.ENGINE_RESTARTED]
+    assert note_all(HealthReport(), EndpointDown(), HealthReport())[1] == [
+        CollapseReason.ENGINE_RESTARTED
+    ]
 
 
-def test_a_cold_start_is_taken_once_each_time():
-    cold = Report(incarnation="a", cold=True)
-    warm = Report(incarnation="a")
+def test_each_cold_start_is_reported_once():
+    cold = HealthReport(incarnation="a", cold=True)
+    warm = HealthReport(incarnation="a")
     assert (
         note_all(warm, cold, cold, warm, cold)[1] == [CollapseReason.REPORTED_COLD] * 2
     )
 
 
-def test_a_late_answer_is_no_restart():
-    """An engine under full load answers a poll too late, once.
+def test_a_missed_poll_is_not_a_restart():
+    """An engine under full load answers a single poll too late.
 
-    It is the same one as before. Were its window closed for that, callers
-    would wait behind a few slots of an engine that bears many.
+    It hasn't restarted. If its window shrank, callers would queue for a few slots
+    of an engine that can handle many.
     """
-    same = Report(incarnation="a")
-    health, collapses = note_all(same, Down(), same)
+    same = HealthReport(incarnation="a")
+    health, collapses = note_all(same, EndpointDown(), same)
     assert health.is_up
     assert collapses == []
-    changed = note_all(same, Down(), Report(incarnation="b"))[1]
+    changed = note_all(same, EndpointDown(), HealthReport(incarnation="b"))[1]
     assert changed == [CollapseReason.ENGINE_RESTARTED]
