--- a/eelgrassrack/document/parser.py
+++ b/eelgrassrack/document/parser.py
@@ -8,9 +8,9 @@
 
 from .crosschecks import check_references
 from .faults import Fault, Faults
-from .fields import SectionKind
 from .lines import SectionName, scan_text
 from .reading import Reading, make_fault, read_sections
+from .schema import SectionKind
 from .sections import Limits, Policy
 from .snapshot import Snapshot
 from .tables import DOCUMENT
--- a/eelgrassrack/document/reading.py
+++ b/eelgrassrack/document/reading.py
@@ -6,8 +6,8 @@
 
 from .checks import Invalid, convert_text, describe_check
 from .faults import HIDDEN, Fault
-from .fields import Key, Need, SectionKind, find_default
 from .lines import Entry, RawSection, SectionName, hide_secret
+from .schema import Key, Need, SectionKind, find_default
 
 
 class Reading(msgspec.Struct, kw_only=True):
--- a/eelgrassrack/document/tables/callers.py
+++ b/eelgrassrack/document/tables/callers.py
@@ -1,7 +1,7 @@
 """The sections about organisations, teams and what holds for all callers."""
 
 from ..checks import Choice, Items, Number
-from ..fields import Key, SectionKind
+from ..schema import Key, SectionKind
 from ..sections import Limits, Organisation, Policy, Preference, Team
 from .texts import DIGEST, GRANT, NAME, SECTION_PATTERN, VARIABLE
 
--- a/eelgrassrack/document/tables/fleet.py
+++ b/eelgrassrack/document/tables/fleet.py
@@ -1,7 +1,7 @@
 """The sections about failure domains, endpoints and plain services."""
 
 from ..checks import Choice, Flag, Items, Number
-from ..fields import Key, SectionKind
+from ..schema import Key, SectionKind
 from ..sections import Domain, DomainState, Endpoint, EndpointState, Pool, Service
 from .texts import NAME, OPERATION, VERSION_NAME
 
--- a/eelgrassrack/document/tables/models.py
+++ b/eelgrassrack/document/tables/models.py
@@ -1,7 +1,7 @@
 """The sections about models, their versions and cascades."""
 
 from ..checks import Choice, Items, Number
-from ..fields import Key, SectionKind
+from ..schema import Key, SectionKind
 from ..sections import Cascade, Model, Version, VersionState
 from .texts import NAME, VERSION_NAME
 
--- a/eelgrassrack/gateway/settings.py
+++ b/eelgrassrack/gateway/settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..document.checks import Items, Number
-from ..document.fields import Key, SectionKind
+from ..document.schema import Key, SectionKind
 from ..document.tables.texts import NAME
 from ..settings import ADDRESS, URL, LogSettings, read_sections_of
 
--- a/eelgrassrack/load/tables.py
+++ b/eelgrassrack/load/tables.py
@@ -1,7 +1,7 @@
 """The table of sections and keys that a load plan may hold."""
 
 from ..document.checks import Choice, Flag, Items, Number, Text
-from ..document.fields import Key, SectionKind
+from ..document.schema import Key, SectionKind
 from ..document.tables.texts import GRANT, NAME, VARIABLE
 from .workload import Kind, Limits, Phase, Returns
 
--- a/eelgrassrack/pages.py
+++ b/eelgrassrack/pages.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from .document.checks import describe_check
-from .document.fields import Key, SectionKind, format_default
+from .document.schema import Key, SectionKind, format_default
 from .document.tables import DOCUMENT
 from .gateway.settings import GATEWAY
 from .metrics import format_page as format_metrics
--- a/eelgrassrack/settings.py
+++ b/eelgrassrack/settings.py
@@ -6,9 +6,9 @@
 
 from .document.checks import Flag, Number, OneOf, Text
 from .document.faults import Fault
-from .document.fields import Key, SectionKind
 from .document.lines import scan_text
 from .document.reading import read_sections
+from .document.schema import Key, SectionKind
 from .document.tables.texts import NAME
 from .errors import UserError
 
--- a/test/load/test_pages.py
+++ b/test/load/test_pages.py
@@ -3,7 +3,7 @@
 import pathlib
 
 from eelgrassrack.document.checks import describe_check
-from eelgrassrack.document.fields import format_default
+from eelgrassrack.document.schema import format_default
 from eelgrassrack.load.tables import PLAN
 
 PAGE = pathlib.Path(__file__).parent.parent.parent / "docs" / "EXPERIMENTS.md"
