--- a/eelgrassrack/document/__init__.py
+++ b/eelgrassrack/document/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' document: its sections, checks and immutable snapshots."""
+"""The operators' document: schema, parser, edits and immutable snapshots."""
--- a/eelgrassrack/document/builder.py
+++ b/eelgrassrack/document/builder.py
@@ -1,65 +1,68 @@
-"""Snapshots of a document that changes section by section.
+"""Incremental building of snapshots from the texts of a document's sections.
 
-A daemon follows a document of thousands of sections of which each revision
-changes one or two.  Reading all of them again for each revision would cost
-more processor time than a node has for control, so a section's reading is
-kept for as long as its text stays in the document.
+A daemon follows a document of thousands of sections, and each revision
+changes one or two of them.  Parsing all sections again for each revision
+would take more processor time than a node can spend on control, so a parsed
+section is cached as long as its text stays in the document.
 
-The references between sections aren't checked again here: whoever put the
-revision in force checked the whole document first.
+References between sections aren't checked here: the whole document was
+checked before its revision was put in force.
 """
 
 from collections.abc import Iterable
 
 from .lines import SectionName, scan_text
 from .parser import build_snapshot, read_api_key
-from .reading import Reading, read_sections
+from .reading import ParsedSection, read_sections
 from .snapshot import Snapshot
 from .tables import DOCUMENT
 
 FILE = "document"
 
-Readings = dict[SectionName, Reading]
+ParsedSections = dict[SectionName, ParsedSection]
 
 
 class SnapshotBuilder:
-    """Build snapshots of one document's revisions, one after another."""
+    """Builds the snapshots of one document's successive revisions.
 
-    __slots__ = ("_known",)
+    Sections whose text didn't change are taken from a cache.
+    """
+
+    __slots__ = ("_cache",)
 
     def __init__(self) -> None:
-        self._known: dict[str, Readings] = {}
+        self._cache: dict[str, ParsedSections] = {}
 
     def build(self, *, texts: Iterable[str], revision: int) -> Snapshot | None:
         """Return the snapshot of a revision's section texts.
 
-        None means that a section has faults of its own; `parse_document`
-        tells which.
+        None means that at least one section is invalid by itself;
+        `parse_document` returns the faults.
         """
-        known: dict[str, Readings] = {}
+        cache: dict[str, ParsedSections] = {}
         for text in texts:
-            readings = self._known.get(text)
-            if readings is None:
-                readings = _read_text(text)
-            if readings is None:
+            parsed_sections = self._cache.get(text)
+            if parsed_sections is None:
+                parsed_sections = _parse_text(text)
+            if parsed_sections is None:
                 return None
-            known[text] = readings
-        self._known = known
+            cache[text] = parsed_sections
+        self._cache = cache
         merged = {
-            name: reading
-            for readings in known.values()
-            for name, reading in readings.items()
+            name: parsed
+            for parsed_sections in cache.values()
+            for name, parsed in parsed_sections.items()
         }
         return build_snapshot(merged, revision)
 
 
-def _read_text(text: str) -> Readings | None:
-    """Return the readings of one section's text, or None if it has faults."""
+def _parse_text(text: str) -> ParsedSections | None:
+    """Parse the text of one section; return None if it has faults."""
     scan = scan_text(text, file=FILE)
-    readings, faults = read_sections(scan.sections, DOCUMENT, file=FILE)
+    parsed_sections, faults = read_sections(scan.sections, DOCUMENT, file=FILE)
     faults += scan.faults
-    for reading in readings.values():
-        if reading.section.name.kind == "organisation":
-            faults += read_api_key(reading, {}, FILE)
-        faults += reading.faults
-    return None if faults else readings
+    for parsed in parsed_sections.values():
+        if parsed.section.name.kind == "organisation":
+            faults += read_api_key(parsed, {}, FILE)
+        faults += parsed.faults
+    return None if faults else parsed_sections
--- a/eelgrassrack/document/checks.py
+++ b/eelgrassrack/document/checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values, and what each check allows in words."""
+"""Checks that convert and validate one value of an INI file."""
 
 import enum
 import math
@@ -10,13 +10,13 @@
 
 
 class Invalid(msgspec.Struct, kw_only=True, frozen=True):
-    """A text that a check doesn't allow."""
+    """A text that failed its check; `allowed` describes the valid values."""
 
     allowed: str
 
 
 class Number(msgspec.Struct, kw_only=True, frozen=True):
-    """A number from `low` to `high`, both included."""
+    """A number from `low` to `high`, both included; an integer with `whole`."""
 
     low: float
     high: float
@@ -24,33 +24,37 @@
 
 
 class Flag(msgspec.Struct, kw_only=True, frozen=True):
-    """Yes or no."""
+    """A boolean, written `yes` or `no`."""
 
 
 class Choice(msgspec.Struct, kw_only=True, frozen=True):
-    """One of the values of an enumeration."""
+    """The value of a member of the enumeration `options`."""
 
     options: type[enum.Enum]
 
 
 class OneOf(msgspec.Struct, kw_only=True, frozen=True):
-    """One of a few texts."""
+    """One of the texts in `options`."""
 
     options: tuple[str, ...]
 
 
 class Text(msgspec.Struct, kw_only=True, frozen=True):
-    """A text that matches a pattern; `allowed` says the pattern in words."""
+    """A text that matches a pattern; `allowed` describes the pattern."""
 
     pattern: str
     allowed: str
 
 
 class Items(msgspec.Struct, kw_only=True, frozen=True):
-    """A comma-separated list; `least` is how many items there must be."""
+    """A comma-separated list of different items.
+
+    `min_items` is the fewest items allowed.  With `unordered` the value is
+    a frozenset instead of a tuple.
+    """
 
     item: Text
-    least: int = 0
+    min_items: int = 0
     unordered: bool = False
 
 
@@ -60,7 +64,7 @@
 
 
 def describe_check(check: Check) -> str:
-    """Return in words what a check allows."""
+    """Return a description of the values that a check allows."""
     match check:
         case Number(low=low, high=high, whole=whole):
             kind = "whole number" if whole else "number"
@@ -73,20 +77,20 @@
             return "one of " + ", ".join(options)
         case Text(allowed=allowed):
             return allowed
-        case Items(item=item, least=least):
-            count = f"at least {least}, " if least else ""
+        case Items(item=item, min_items=min_items):
+            count = f"at least {min_items}, " if min_items else ""
             return f"list of different items, {count}each {item.allowed}"
     raise DocumentError(f"no such check: {check!r}")
 
 
 def convert_text(check: Check, text: str) -> object | Invalid:
-    """Return the value that a text stands for."""
+    """Convert a text to its value; return `Invalid` if the check fails."""
     value = _convert(check, text)
     return Invalid(allowed=describe_check(check)) if value is None else value
 
 
 def format_value(check: Check, value: object) -> str:
-    """Return the text that stands for a value."""
+    """Return a value in the form that `convert_text` reads."""
     match check, value:
         case Flag(), bool():
             return "yes" if value else "no"
@@ -128,7 +132,7 @@
 
 def _convert_items(check: Items, text: str) -> tuple | frozenset | None:
     items = [item.strip() for item in text.split(",")] if text.strip() else []
-    if len(items) < check.least or len(set(items)) < len(items):
+    if len(items) < check.min_items or len(set(items)) < len(items):
         return None
     if not all(re.fullmatch(check.item.pattern, item) for item in items):
         return None
--- a/eelgrassrack/document/edits.py
+++ b/eelgrassrack/document/edits.py
@@ -1,8 +1,8 @@
-"""Edits of a document's text that change some sections and keep the rest.
+"""Edits of a document's text that replace only selected sections.
 
-Teams share one text.  Each edit takes only the sections that it names
-from the proposed text, so that a stale copy of another team's section
-in somebody's file can't undo that team's work.
+Teams share one document.  An edit takes only its selected sections from
+the proposed text, so an outdated copy of another team's section in that
+text can't undo the other team's changes.
 """
 
 import fnmatch
@@ -20,30 +20,30 @@
 
 
 class Edit(msgspec.Struct, kw_only=True, frozen=True):
-    """The whole new text and the names of the sections that changed."""
+    """The document's new text and the names of the changed sections."""
 
     text: str
     changed: tuple[str, ...]
 
 
 class EditRefused(msgspec.Struct, kw_only=True, frozen=True):
-    """Why an edit changes nothing, and the sections it stumbled over."""
+    """Why an edit was refused, and the sections or patterns at fault."""
 
     reason: str
     sections: tuple[str, ...] = ()
 
 
 def split_sections(text: str) -> dict[SectionName, str]:
-    """Return the text of each section, header included.
+    """Return the text of each section, including its header.
 
-    Comments right above a header belong to it.  What comes before the
-    first section is the preamble.  A section that stands twice keeps
-    both texts, so that nothing is lost before the parser reports it.
+    Comments directly above a header belong to its section.  The text before
+    the first section is the preamble.  The texts of a duplicate section are
+    joined, so that nothing is lost before the parser reports the duplicate.
     """
     lines = _split_lines(text)
     starts = [number for number, line in enumerate(lines) if find_header(line)]
     names = [find_header(lines[start]) for start in starts]
-    tops = [_find_top(lines, start) for start in starts]
+    tops = [_find_first_line(lines, start) for start in starts]
     ends = [*tops, len(lines)][1:]
     sections: dict[SectionName, str] = {}
     preamble = "".join(lines[: tops[0]] if tops else lines)
@@ -55,7 +55,7 @@
 
 
 def join_sections(sections: Mapping[SectionName, str]) -> str:
-    """Return one text of all sections, each on lines of its own."""
+    """Join section texts into a document, each section starting a new line."""
     texts = [text for text in sections.values() if text]
     ended = [text if text.endswith("\n") else text + "\n" for text in texts[:-1]]
     return "".join([*ended, *texts[-1:]])
@@ -64,11 +64,11 @@
 def replace_sections(
     *, current: str, proposed: str, patterns: Iterable[str], team: Team
 ) -> Edit | EditRefused:
-    """Return the current text with a team's sections from the proposed one.
+    """Replace selected sections of the current text by the proposed ones.
 
-    `patterns` select the sections by `kind name`.  Of these, new ones are
-    added and ones that the proposed text lacks are removed.  An edit that
-    would change a section the team may not edit is refused.
+    `patterns` select the sections by `kind name`.  Selected sections that
+    only the proposed text has are added, and ones that it lacks are removed.
+    An edit that changes a section the team may not edit is refused.
     """
     before = split_sections(current)
     after = split_sections(proposed)
@@ -79,10 +79,10 @@
     changed = [
         name for name in selected if not _is_same(before.get(name), after.get(name))
     ]
-    foreign = [str(name) for name in changed if not may_edit(team, name)]
-    if foreign:
+    not_permitted = [str(name) for name in changed if not may_edit(team, name)]
+    if not_permitted:
         reason = f"team {team.name} may not edit"
-        return EditRefused(reason=reason, sections=tuple(foreign))
+        return EditRefused(reason=reason, sections=tuple(not_permitted))
     return Edit(
         text=join_sections(_merge_sections(before, after, changed)),
         changed=tuple(str(name) for name in changed),
@@ -90,29 +90,29 @@
 
 
 def matches_any(name: SectionName, patterns: Iterable[str]) -> bool:
-    """Tell whether a section's `kind name` matches one of the patterns."""
+    """Return whether a section's `kind name` matches one of the patterns."""
     if name == PREAMBLE:
         return False
     return any(fnmatch.fnmatchcase(str(name), pattern) for pattern in patterns)
 
 
 def may_edit(team: Team, name: SectionName) -> bool:
-    """Tell whether a team may edit a section."""
+    """Return whether a team may edit a section."""
     return matches_any(name, team.sections)
 
 
 def set_key(*, text: str, section: SectionName, key: str, value: str) -> str:
-    """Return the text with one key of a section set, the rest untouched.
+    """Return the text with one key of a section set and the rest unchanged.
 
-    A section that is missing is added at the end.
+    A missing section is added at the end.
     """
     sections = split_sections(text)
     lines = sections.get(section, f"\n[{section}]\n").split("\n")
     top = next(number for number, line in enumerate(lines) if find_header(line))
-    entries = scan_text("\n".join(lines), file="").sections[0].entries
-    found = [entry.line - 1 for entry in entries if entry.key == key]
+    pairs = scan_text("\n".join(lines), file="").sections[0].pairs
+    found = [pair.line - 1 for pair in pairs if pair.key == key]
     for number in reversed(found):
-        rest = itertools.dropwhile(_continues, lines[number + 1 :])
+        rest = itertools.dropwhile(_is_continuation, lines[number + 1 :])
         lines[number:] = [f"{key} = {value}", *rest]
     if not found:
         lines.insert(top + 1, f"{key} = {value}")
@@ -123,16 +123,16 @@
 def resolve_api_keys(
     *, text: str, patterns: Iterable[str], environment: Mapping[str, str]
 ) -> str:
-    """Return the text with `key_env` replaced by the key's digest.
+    """Return the text with each `key_env` replaced by the key's digest.
 
-    Daemons have no such variables, and the stored document must not
-    depend on any.  Variables that aren't set are left for the parser to
-    report.
+    Only sections that match `patterns` are changed.  Daemons don't have the
+    operator's environment variables, so the stored document must not refer
+    to them.  The parser reports variables that aren't set.
     """
     patterns = tuple(patterns)
     resolved = text
     for section in scan_text(text, file="").sections:
-        values = {entry.key: entry.value for entry in section.entries}
+        values = {pair.key: pair.value for pair in section.pairs}
         api_key = environment.get(values.get(KEY_VARIABLE, ""))
         if not api_key or not matches_any(section.name, patterns):
             continue
@@ -158,9 +158,9 @@
     after: dict[SectionName, str],
     changed: list[SectionName],
 ) -> dict[SectionName, str]:
-    """Keep the current order; new sections come last.
+    """Return the merged sections in the current order, new ones last.
 
-    The first document brings its preamble along.
+    The preamble is taken over only if there was no document before.
     """
     if not before:
         changed = [PREAMBLE, *changed] if PREAMBLE in after else changed
@@ -173,17 +173,20 @@
 
 
 def _is_same(first: str | None, second: str | None) -> bool:
-    """Compare two sections, not caring for blank lines at their ends."""
+    """Return whether two sections are equal apart from surrounding whitespace."""
     return first is not None and second is not None and first.strip() == second.strip()
 
 
-def _continues(line: str) -> bool:
-    """Tell whether a line continues the value above it."""
+def _is_continuation(line: str) -> bool:
+    """Return whether a line continues the value above it."""
     return bool(line.strip()) and line[0].isspace() and not is_comment(line)
 
 
-def _find_top(lines: list[str], start: int) -> int:
-    """Return the number of the first of the comments right above a header."""
+def _find_first_line(lines: list[str], start: int) -> int:
+    """Return the index of a section's first line.
+
+    That is the first of the comments directly above its header, if any.
+    """
     top = start
     while top and is_comment(lines[top - 1]):
         top -= 1
@@ -191,6 +194,6 @@
 
 
 def _split_lines(text: str) -> list[str]:
-    """Split at line feeds only, as the parser does."""
+    """Split a text at line feeds only, as the parser does, and keep them."""
     lines = text.split("\n")
     return [line + "\n" for line in lines[:-1]] + [line for line in lines[-1:] if line]
--- a/eelgrassrack/document/errors.py
+++ b/eelgrassrack/document/errors.py
@@ -4,4 +4,4 @@
 
 
 class DocumentError(EelgrassrackError):
-    """The document layer was used wrongly by the program itself."""
+    """A bug in the program: the document layer was called incorrectly."""
--- a/eelgrassrack/document/facts.py
+++ b/eelgrassrack/document/facts.py
@@ -1,8 +1,8 @@
-"""What an agent needs to know of the document, and nothing more.
+"""The part of the document that an agent needs, as a `Facts` message.
 
-An agent is told by its parent entries at each change of the document.
+Parent entries send it to their agents at each change of the document.
 At the target size there are thousands of agents and many changes a
-minute, so the message holds only what bears on the agent's own pool.
+minute, so the message holds only what concerns the agent's own pool.
 """
 
 from collections.abc import Iterable
@@ -17,14 +17,14 @@
 ) -> Facts:
     """Return the facts for the agents of a pool.
 
-    An agent of a pool that the document doesn't name serves nothing.
+    Agents of a pool that isn't in the document serve nothing.
     """
-    known = snapshot.pools.get(pool, Pool(name=pool))
+    section = snapshot.pools.get(pool, Pool(name=pool))
     return Facts(
         revision=snapshot.revision,
         withdrawn=tuple(
             version
-            for version in known.serves
+            for version in section.serves
             if not snapshot.is_active(version=version)
         ),
         domains_out=tuple(
@@ -37,22 +37,25 @@
             for endpoint in snapshot.endpoints.values()
             if endpoint.state is EndpointState.DRAINING
         ),
-        weights=_find_weights(snapshot, known),
-        serves=known.serves,
-        service=known.service,
-        concurrency=known.concurrency,
-        cold_concurrency=known.cold_concurrency,
+        weights=_find_weights(snapshot, section),
+        serves=section.serves,
+        service=section.service,
+        concurrency=section.concurrency,
+        cold_concurrency=section.cold_concurrency,
         quarantined=tuple(quarantined),
         costs={
             version: snapshot.versions[version].cost
-            for version in known.serves
+            for version in section.serves
             if version in snapshot.versions
         },
     )
 
 
 def _find_weights(snapshot: Snapshot, pool: Pool) -> dict[str, float]:
-    """Return the weights other than one of the organisations that may come."""
+    """Return the weights of the organisations that may use the pool.
+
+    A weight of 1 is the default and left out.
+    """
     return {
         organisation.name: organisation.weight
         for organisation in snapshot.organisations.values()
--- a/eelgrassrack/document/faults.py
+++ b/eelgrassrack/document/faults.py
@@ -1,4 +1,4 @@
-"""Faults in an INI text, each with its place and what would be allowed."""
+"""Faults found in an INI text, with their position and the allowed values."""
 
 import msgspec
 
@@ -6,10 +6,10 @@
 
 
 class Fault(msgspec.Struct, kw_only=True, frozen=True, order=True):
-    """One fault: where it is, what stands there and what may stand there.
+    """One fault: its position, the invalid value and what is allowed.
 
-    `line` counts from one.  `key` and `value` are empty when the whole
-    section is at fault.  A value that may be a secret is hidden.
+    `line` counts from one.  `key` and `value` are empty if the fault
+    concerns the whole section.  A value that may be a secret is hidden.
     """
 
     file: str
@@ -28,7 +28,7 @@
 
 
 class Faults(msgspec.Struct, kw_only=True, frozen=True):
-    """Every fault found in one text, in the order of its lines."""
+    """All faults found in one text, in the order of its lines."""
 
     faults: tuple[Fault, ...]
 
--- a/eelgrassrack/document/lines.py
+++ b/eelgrassrack/document/lines.py
@@ -1,8 +1,8 @@
-"""Sections and keys of an INI text, with their line numbers.
+"""A scanner that finds the sections and keys of an INI text by line number.
 
-`configparser` reads the values.  It keeps no line numbers and merges or
-rejects duplicates, so the lines are scanned first, by its own rules: a
-header or key starts at the left margin, an indented line continues the
+`configparser` reads the values, but it keeps no line numbers and merges or
+rejects duplicates.  The lines are therefore scanned first, by the same rules:
+a header or key starts at the left margin, an indented line continues the
 value above it, and a blank line or a comment ends a value.
 """
 
@@ -21,7 +21,7 @@
 
 
 class SectionName(msgspec.Struct, frozen=True, order=True):
-    """A section's kind and name; the name is empty for single sections."""
+    """A section's kind and name; kinds with a single section have no name."""
 
     kind: str
     name: str = ""
@@ -30,8 +30,8 @@
         return f"{self.kind} {self.name}".strip()
 
 
-class Entry(msgspec.Struct, kw_only=True):
-    """One `key = value` of a section."""
+class KeyValue(msgspec.Struct, kw_only=True):
+    """One `key = value` of a section; `line` counts from one."""
 
     key: str
     value: str = ""
@@ -39,23 +39,26 @@
 
 
 class RawSection(msgspec.Struct, kw_only=True):
-    """One section as it stands in the text; `line` is its header's."""
+    """One unparsed section; `line` is the number of its header's line.
+
+    `lines` are the lines of all its valid keys and values.
+    """
 
     name: SectionName
     line: int
-    entries: list[Entry] = []
+    pairs: list[KeyValue] = []
     lines: list[str] = []
 
 
 class Scan(msgspec.Struct, kw_only=True):
-    """All sections of a text, duplicates included, and its syntax faults."""
+    """The sections of a text, including duplicates, and its syntax faults."""
 
     sections: list[RawSection]
     faults: list[Fault]
 
 
 def read_name(header: str) -> SectionName:
-    """Return the section name in a header's text."""
+    """Return the section name in the text between a header's brackets."""
     kind, _, name = header.strip().partition(" ")
     return SectionName(kind, name.strip())
 
@@ -67,18 +70,18 @@
 
 
 def is_comment(line: str) -> bool:
-    """Tell whether the whole line is a comment."""
+    """Return whether the whole line is a comment."""
     return line.strip().startswith(COMMENTS)
 
 
 def hide_secret(key: str, value: str) -> str:
-    """Return the value, or a mark in its place if the key may hold a secret."""
+    """Return the value, or `HIDDEN` if the key's name suggests a secret."""
     secret = any(word in key.lower() for word in SECRET_WORDS)
     return HIDDEN if secret else value
 
 
 def scan_text(text: str, *, file: str) -> Scan:
-    """Return the sections of a text and every fault of its syntax."""
+    """Return the sections of a text and its syntax faults."""
     scan = Scan(sections=[], faults=[])
     value_open = False
     for number, line in enumerate(text.split("\n"), start=1):
@@ -88,7 +91,7 @@
 
 
 def _scan_line(scan: Scan, file: str, number: int, line: str, value_open: bool) -> bool:
-    """Take one line in; return whether a value may go on in the next one."""
+    """Add one line to the scan; return whether the next may continue a value."""
     section = scan.sections[-1] if scan.sections else None
     if not line.strip() or is_comment(line):
         return False
@@ -104,12 +107,13 @@
     if allowed:
         scan.faults.append(_make_line_fault(section, file, number, line, allowed))
         return False
-    section.entries.append(Entry(key=key, line=number))
+    section.pairs.append(KeyValue(key=key, line=number))
     section.lines.append(line)
     return True
 
 
 def _find_line_fault(section: RawSection | None, line: str, key: str) -> str:
+    """Return what is allowed instead of an invalid line, or an empty text."""
     if line[0].isspace():
         return "an indented line must continue the value right above it"
     if line.startswith("["):
@@ -124,9 +128,9 @@
 def _make_line_fault(
     section: RawSection | None, file: str, number: int, line: str, allowed: str
 ) -> Fault:
-    """Name the fault of a line, without text that may hold a secret.
+    """Return the fault of a line, with the line hidden if it may be a secret.
 
-    A line of an organisation's section may be its key, pasted without
+    Any line of an organisation's section may be its API key, pasted without
     `key_env =` in front.
     """
     kind = section.name.kind if section else ""
@@ -142,9 +146,9 @@
 
 
 def _fill_values(sections: list[RawSection]) -> None:
-    """Let configparser read the values of all lines that are sound.
+    """Let configparser read the values of all valid lines.
 
-    Sections and keys go by their numbers, so that duplicates stay apart.
+    Sections and keys are numbered for it, so that duplicates stay apart.
     """
     parser = configparser.RawConfigParser(
         delimiters=("=",), comment_prefixes=COMMENTS, empty_lines_in_values=False
@@ -153,11 +157,12 @@
     parser.read_file(_number_lines(sections))
     for number, section in enumerate(sections):
         values = parser[str(number)].values()
-        for entry, value in zip(section.entries, values, strict=True):
-            entry.value = value.strip()
+        for pair, value in zip(section.pairs, values, strict=True):
+            pair.value = value.strip()
 
 
 def _number_lines(sections: list[RawSection]) -> Iterator[str]:
+    """Yield the lines with numbers for section names and before keys."""
     for number, section in enumerate(sections):
         yield f"[{number}]"
         keys = itertools.count()
--- a/eelgrassrack/document/reading.py
+++ b/eelgrassrack/document/reading.py
@@ -1,4 +1,4 @@
-"""The reading of sections by a table of what each may hold."""
+"""Reading and checking of sections by the tables of their keys."""
 
 from collections.abc import Iterable
 
@@ -6,32 +6,35 @@
 
 from .checks import Invalid, convert_text, describe_check
 from .faults import HIDDEN, Fault
-from .lines import Entry, RawSection, SectionName, hide_secret
-from .schema import Key, Need, SectionKind, find_default
+from .lines import KeyValue, RawSection, SectionName, hide_secret
+from .schema import Key, NoDefault, SectionKind, find_default
 
 
-class Reading(msgspec.Struct, kw_only=True):
-    """The values of one section, its entries by key, and its faults."""
+class ParsedSection(msgspec.Struct, kw_only=True):
+    """The converted values of one section, its key-value pairs and faults."""
 
     section: RawSection
     values: dict[str, object] = {}
-    entries: dict[str, Entry] = {}
+    pairs: dict[str, KeyValue] = {}
     faults: list[Fault] = []
 
 
 def read_sections(
     sections: list[RawSection], kinds: Iterable[SectionKind], *, file: str
-) -> tuple[dict[SectionName, Reading], list[Fault]]:
-    """Return the known sections of a text and the faults of the others."""
+) -> tuple[dict[SectionName, ParsedSection], list[Fault]]:
+    """Return the sections of known kinds, and faults for all other sections.
+
+    Of duplicate sections the first is returned.
+    """
     known = {kind.kind: kind for kind in kinds}
     headers = ", ".join(f"[{kind.header}]" for kind in known.values())
-    readings: dict[SectionName, Reading] = {}
+    parsed_sections: dict[SectionName, ParsedSection] = {}
     faults = []
     for section in sections:
         kind = known.get(section.name.kind)
-        first = readings.get(section.name)
+        first = parsed_sections.get(section.name)
         if kind and not first:
-            readings[section.name] = read_section(section, kind, file=file)
+            parsed_sections[section.name] = read_section(section, kind, file=file)
             continue
         allowed = (
             f"allowed once; first on line {first.section.line}"
@@ -46,15 +49,15 @@
                 allowed=allowed,
             )
         )
-    return readings, faults
+    return parsed_sections, faults
 
 
-def read_section(section: RawSection, kind: SectionKind, *, file: str) -> Reading:
-    """Check a section's name and every key of it."""
-    reading = Reading(section=section)
+def read_section(section: RawSection, kind: SectionKind, *, file: str) -> ParsedSection:
+    """Convert the values of a section and check its name and keys."""
+    parsed = ParsedSection(section=section)
     name = section.name.name
     if isinstance(convert_text(kind.name, name), Invalid):
-        reading.faults.append(
+        parsed.faults.append(
             Fault(
                 file=file,
                 line=section.line,
@@ -65,67 +68,70 @@
             )
         )
     keys = {key.name: key for key in kind.keys}
-    for entry in section.entries:
-        _read_entry(reading, keys, entry, file)
-    _check_required(reading, kind, file)
-    return reading
+    for pair in section.pairs:
+        _read_pair(parsed, keys, pair, file)
+    _check_required(parsed, kind, file)
+    return parsed
 
 
-def make_fault(reading: Reading, *, file: str, key: str, allowed: str) -> Fault:
-    """Return a fault of a key, at its line or at the section's header."""
-    section = reading.section
-    entry = reading.entries.get(key)
+def make_fault(parsed: ParsedSection, *, file: str, key: str, allowed: str) -> Fault:
+    """Return a fault of a key, at its line or, without one, at the header."""
+    section = parsed.section
+    pair = parsed.pairs.get(key)
     missing = section.name.name if key == "name" else ""
     return Fault(
         file=file,
-        line=entry.line if entry else section.line,
+        line=pair.line if pair else section.line,
         section=str(section.name),
         key=key,
-        value=hide_secret(key, entry.value) if entry else missing,
+        value=hide_secret(key, pair.value) if pair else missing,
         allowed=allowed,
     )
 
 
-def _read_entry(
-    reading: Reading, keys: dict[str, Key], entry: Entry, file: str
+def _read_pair(
+    parsed: ParsedSection, keys: dict[str, Key], pair: KeyValue, file: str
 ) -> None:
-    key = keys.get(entry.key)
+    """Add the value of one key to a section, or its fault."""
+    key = keys.get(pair.key)
     allowed = ""
     value = None
     if key is None:
         allowed = "unknown key; allowed: " + ", ".join(keys)
-    elif entry.key in reading.entries:
-        allowed = f"allowed once; first on line {reading.entries[entry.key].line}"
+    elif pair.key in parsed.pairs:
+        allowed = f"allowed once; first on line {parsed.pairs[pair.key].line}"
     else:
-        reading.entries[entry.key] = entry
-        value = convert_text(key.check, entry.value)
+        parsed.pairs[pair.key] = pair
+        value = convert_text(key.check, pair.value)
         if isinstance(value, Invalid):
             allowed = value.allowed
     if not allowed:
-        reading.values[entry.key] = value
+        parsed.values[pair.key] = value
         return
-    hidden = HIDDEN if key and key.secret else hide_secret(entry.key, entry.value)
-    reading.faults.append(
+    hidden = HIDDEN if key and key.secret else hide_secret(pair.key, pair.value)
+    parsed.faults.append(
         Fault(
             file=file,
-            line=entry.line,
-            section=str(reading.section.name),
-            key=entry.key,
+            line=pair.line,
+            section=str(parsed.section.name),
+            key=pair.key,
             value=hidden,
             allowed=allowed,
         )
     )
 
 
-def _check_required(reading: Reading, kind: SectionKind, file: str) -> None:
+def _check_required(parsed: ParsedSection, kind: SectionKind, file: str) -> None:
+    """Add a fault for each required key that is missing."""
     missing = (
         key
         for key in kind.keys
-        if find_default(kind, key) is Need.REQUIRED and key.name not in reading.entries
+        if find_default(kind, key) is NoDefault.REQUIRED
+        and key.name not in parsed.pairs
     )
-    reading.faults.extend(
+    parsed.faults.extend(
         make_fault(
-            reading,
+            parsed,
             file=file,
             key=key.name,
             allowed=f"required: {describe_check(key.check)}",
--- a/eelgrassrack/document/schema.py
+++ b/eelgrassrack/document/schema.py
@@ -1,7 +1,7 @@
-"""What a table of sections and keys is made of.
+"""Classes that describe the sections and keys of an INI file.
 
-One table serves the parser, the daemons' settings and the page
-docs/CONFIGURATION.md, so that they can't disagree.
+The parser, the daemons' settings and the page docs/CONFIGURATION.md use the
+same tables of them, so that they can't disagree.
 """
 
 import enum
@@ -17,8 +17,8 @@
 class Key(msgspec.Struct, kw_only=True, frozen=True):
     """One key of a section: its check, unit and meaning.
 
-    With `secret` its value is never printed.  With `extra` it isn't a
-    field of the section's class.
+    The value of a `secret` key is never printed.  An `extra` key isn't a
+    field of the section's class and has no default.
     """
 
     name: str
@@ -30,7 +30,7 @@
 
 
 class SectionKind(msgspec.Struct, kw_only=True, frozen=True):
-    """One kind of section: its class, its name's check and its keys."""
+    """One kind of section: its class, its keys and the check of its name."""
 
     kind: str
     struct: type[msgspec.Struct]
@@ -41,11 +41,11 @@
 
     @property
     def header(self) -> str:
-        """Return the header's form, such as `organisation NAME`."""
+        """Return the form of the header, such as `organisation NAME`."""
         return self.kind if self.name is NO_NAME else f"{self.kind} NAME"
 
 
-class Need(enum.Enum):
+class NoDefault(enum.Enum):
     """Why a key has no default."""
 
     REQUIRED = "required"
@@ -53,18 +53,20 @@
 
 
 def find_default(kind: SectionKind, key: Key) -> object:
-    """Return a key's default, or why it has none."""
+    """Return the default of a key, or why it has none."""
     if key.extra:
-        return Need.OPTIONAL
+        return NoDefault.OPTIONAL
     field = _find_fields(kind.struct)[key.name]
-    return Need.REQUIRED if field.required else field.default
+    return NoDefault.REQUIRED if field.required else field.default
 
 
 def format_default(kind: SectionKind, key: Key) -> str:
-    """Return a key's default as it would be written."""
+    """Return the default of a key as it is written in a file."""
     default = find_default(kind, key)
     return (
-        default.value if isinstance(default, Need) else format_value(key.check, default)
+        default.value
+        if isinstance(default, NoDefault)
+        else format_value(key.check, default)
     )
 
 
@@ -72,5 +74,8 @@
 def _find_fields(
     struct: type[msgspec.Struct],
 ) -> dict[str, msgspec.structs.FieldInfo]:
-    """Return a class's fields; reading them anew for each section is slow."""
+    """Return the fields of a class by name.
+
+    Cached, since inspecting the class again for each section is slow.
+    """
     return {field.name: field for field in msgspec.structs.fields(struct)}
--- a/eelgrassrack/document/sections.py
+++ b/eelgrassrack/document/sections.py
@@ -1,8 +1,8 @@
 """The sections of the operators' document as plain classes.
 
-Every class mirrors one kind of section.  Names are the text after the
-kind in the section's header: `[version assess/2026-10]` is a `Version`
-of the model `assess` with the label `2026-10`.
+Each class holds one kind of section.  A section's name is the text after
+the kind in its header: `[version assess/2026-10]` is a `Version` of the
+model `assess` with the label `2026-10`.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Preference(enum.Enum):
-    """What an organisation would rather have when both can't be had."""
+    """What an organisation prefers when latency and cost conflict."""
 
     LATENCY = "latency"
     COST = "cost"
@@ -44,7 +44,8 @@
     `key_digest` is the hexadecimal SHA-256 of its API key.  `allows`
     holds model names (any version) or `model/label` pairs.  `weight` is
     its share of a full endpoint relative to other organisations.
-    `requests_per_second` and `burst` bound its arrivals at one entry.
+    `requests_per_second` and `burst` limit its arrivals at one entry, and
+    `concurrent` its requests in flight there.
     """
 
     name: str
@@ -65,7 +66,7 @@
 
     `name` is `model/label`.  `weight` is its planned share of new
     work.  `cost` is in money units per 1,000 tokens.  `quality` is the
-    expected rating (0 to 1) before any answer was rated.
+    expected rating (0 to 1) until answers are rated.
     """
 
     name: str
@@ -96,7 +97,10 @@
 
 
 class Domain(msgspec.Struct, kw_only=True, frozen=True):
-    """A failure domain."""
+    """A failure domain.
+
+    Its share of work grows back over `ramp_seconds` when it returns.
+    """
 
     name: str
     state: DomainState = DomainState.IN
@@ -105,12 +109,12 @@
 
 
 class Pool(msgspec.Struct, kw_only=True, frozen=True):
-    """Endpoints of one make: what each serves and bears.
+    """Endpoints of the same type: what each serves and its concurrency.
 
     `serves` holds version names; a pool of a plain service has
     `service` set instead.  `concurrency` is how many requests a warm
-    endpoint bears at once, `cold_concurrency` how many a cold one does.
-    `checks_orders` tells whether its engines refuse old fencing numbers.
+    endpoint handles at once, `cold_concurrency` how many a cold one does.
+    With `checks_orders` its engines refuse old fencing numbers.
     """
 
     name: str
@@ -122,7 +126,7 @@
 
 
 class Endpoint(msgspec.Struct, kw_only=True, frozen=True):
-    """An operator's word on one endpoint."""
+    """The state that an operator set for one endpoint."""
 
     name: str
     state: EndpointState = EndpointState.IN
@@ -139,7 +143,11 @@
 
 
 class Limits(msgspec.Struct, kw_only=True, frozen=True):
-    """Limits that hold for every caller."""
+    """Limits that apply to every caller; deadlines and timeouts are in seconds.
+
+    `attempts` includes the first one.  `retry_ratio` is the retry budget as
+    a fraction of successes.
+    """
 
     body_bytes: int = 1_000_000
     default_deadline: float = 60.0
@@ -150,7 +158,7 @@
 
 
 class Policy(msgspec.Struct, kw_only=True, frozen=True):
-    """Weights between the users' measures; they need not add up to one."""
+    """Relative weights of the users' measures; they need not add up to one."""
 
     cost: float = 1.0
     latency: float = 1.0
--- a/eelgrassrack/document/snapshot.py
+++ b/eelgrassrack/document/snapshot.py
@@ -21,11 +21,11 @@
 
 
 class Snapshot(msgspec.Struct, kw_only=True, frozen=True):
-    """One revision of the whole document, read by name.
+    """One revision of the whole document, with its sections by name.
 
-    Every request is served from one snapshot from start to end.  `keys`
-    and `aliases` are indexes made from the others: every request looks
-    for its organisation and its model, and must not go through all.
+    Each request uses one snapshot from start to end.  `keys` and `aliases`
+    are indexes built from the other fields: every request looks up its
+    organisation and model, which must not take a search of all of them.
     """
 
     revision: int = 0
@@ -44,8 +44,11 @@
     aliases: dict[str, str] = {}
 
     def __post_init__(self) -> None:
-        """Make the indexes."""
-        keys = {each.key_digest: each.name for each in self.organisations.values()}
+        """Build the indexes."""
+        keys = {
+            organisation.key_digest: organisation.name
+            for organisation in self.organisations.values()
+        }
         aliases = {
             alias: model.name
             for model in self.models.values()
@@ -60,28 +63,31 @@
         return None if name is None else self.organisations[name]
 
     def find_model(self, *, name: str) -> Model | None:
-        """Return the model of this name or alias."""
+        """Return the model with this name or alias."""
         return self.models.get(self.aliases.get(name, name))
 
     def allows(self, *, organisation: Organisation, version: str) -> bool:
-        """Tell whether the organisation may use the version."""
+        """Return whether the organisation may use the version."""
         model = version.partition("/")[0]
         return version in organisation.allows or model in organisation.allows
 
     def is_active(self, *, version: str) -> bool:
-        """Tell whether the version may be given new work."""
-        known = self.versions.get(version)
-        return known is not None and known.state is VersionState.ACTIVE
+        """Return whether the version may be given new work."""
+        section = self.versions.get(version)
+        return section is not None and section.state is VersionState.ACTIVE
 
     def is_domain_in(self, *, domain: str) -> bool:
-        """Tell whether the failure domain may be given new work.
+        """Return whether the failure domain may be given new work.
 
-        A domain the document doesn't name is in service.
+        A domain that isn't in the document is in service.
         """
-        known = self.domains.get(domain)
-        return known is None or known.state is DomainState.IN
+        section = self.domains.get(domain)
+        return section is None or section.state is DomainState.IN
 
     def is_endpoint_in(self, *, endpoint: str) -> bool:
-        """Tell whether the endpoint may be given new work."""
-        known = self.endpoints.get(endpoint)
-        return known is None or known.state is EndpointState.IN
+        """Return whether the endpoint may be given new work.
+
+        An endpoint that isn't in the document is in service.
+        """
+        section = self.endpoints.get(endpoint)
+        return section is None or section.state is EndpointState.IN
--- a/eelgrassrack/document/tables/__init__.py
+++ b/eelgrassrack/document/tables/__init__.py
@@ -1,4 +1,4 @@
-"""The sections and keys of the operators' document."""
+"""The tables of sections and keys of the operators' document."""
 
 from .callers import LIMITS, ORGANISATION, POLICY, TEAM
 from .fleet import DOMAIN, ENDPOINT, POOL, SERVICE
--- a/eelgrassrack/document/tables/callers.py
+++ b/eelgrassrack/document/tables/callers.py
@@ -1,4 +1,4 @@
-"""The sections about organisations, teams and what holds for all callers."""
+"""Sections about organisations, teams, limits and policy."""
 
 from ..checks import Choice, Items, Number
 from ..schema import Key, SectionKind
@@ -48,25 +48,25 @@
         Key(
             name="priority",
             check=Number(low=0, high=9, whole=True),
-            meaning="Priority handed to the engines.",
+            meaning="Priority passed on to the engines.",
         ),
         Key(
             name="requests_per_second",
             check=Number(low=0.01, high=100_000),
             unit="requests/s",
-            meaning="Sustained arrivals at one entry.",
+            meaning="Sustained arrival rate at one entry.",
         ),
         Key(
             name="burst",
             check=Number(low=1, high=1_000_000),
             unit="requests",
-            meaning="Arrivals at one entry that may come at once.",
+            meaning="Burst of arrivals allowed at one entry.",
         ),
         Key(
             name="concurrent",
             check=Number(low=1, high=100_000, whole=True),
             unit="requests",
-            meaning="Requests under way at one entry.",
+            meaning="Most requests in flight at one entry.",
         ),
         Key(
             name="quality_target",
@@ -77,7 +77,7 @@
         Key(
             name="preference",
             check=Choice(options=Preference),
-            meaning="What comes first when both can't be had.",
+            meaning="What matters more when latency and cost conflict.",
         ),
     ),
 )
@@ -99,7 +99,7 @@
 LIMITS = SectionKind(
     kind="limits",
     struct=Limits,
-    meaning="Limits that hold for every caller.",
+    meaning="Limits that apply to every caller.",
     keys=(
         Key(
             name="body_bytes",
@@ -111,7 +111,7 @@
             name="default_deadline",
             check=Number(low=0.1, high=86_400),
             unit="s",
-            meaning="Deadline of a request that names none.",
+            meaning="Deadline of a request that sets none.",
         ),
         Key(
             name="longest_deadline",
@@ -142,7 +142,7 @@
 POLICY = SectionKind(
     kind="policy",
     struct=Policy,
-    meaning="Weights between the measures; they need not add up to one.",
+    meaning="Relative weights of the measures; they need not add up to one.",
     keys=(
         Key(
             name="cost",
--- a/eelgrassrack/document/tables/fleet.py
+++ b/eelgrassrack/document/tables/fleet.py
@@ -1,4 +1,4 @@
-"""The sections about failure domains, endpoints and plain services."""
+"""Sections about failure domains, pools, endpoints and plain services."""
 
 from ..checks import Choice, Flag, Items, Number
 from ..schema import Key, SectionKind
@@ -8,7 +8,7 @@
 DOMAIN = SectionKind(
     kind="domain",
     struct=Domain,
-    meaning="A failure domain. One that isn't named is in service.",
+    meaning="A failure domain. One without a section is in service.",
     name=NAME,
     keys=(
         Key(
@@ -16,7 +16,7 @@
             check=Choice(options=DomainState),
             meaning="Whether it may be given new work.",
         ),
-        Key(name="region", check=NAME, meaning="Region that it lies in."),
+        Key(name="region", check=NAME, meaning="Region of the domain."),
         Key(
             name="ramp_seconds",
             check=Number(low=0, high=3600),
@@ -29,7 +29,7 @@
 POOL = SectionKind(
     kind="pool",
     struct=Pool,
-    meaning="Endpoints of one make. Needs one of `serves` and `service`.",
+    meaning="Endpoints of the same type. Needs one of `serves` and `service`.",
     name=NAME,
     keys=(
         Key(
@@ -42,13 +42,13 @@
             name="concurrency",
             check=Number(low=1, high=100_000, whole=True),
             unit="requests",
-            meaning="What a warm endpoint bears at once.",
+            meaning="Requests that a warm endpoint handles at once.",
         ),
         Key(
             name="cold_concurrency",
             check=Number(low=1, high=100_000, whole=True),
             unit="requests",
-            meaning="What an endpoint bears at once in a cold start.",
+            meaning="Requests that a cold endpoint handles at once.",
         ),
         Key(
             name="checks_orders",
@@ -61,7 +61,7 @@
 ENDPOINT = SectionKind(
     kind="endpoint",
     struct=Endpoint,
-    meaning="An operator's word on one endpoint. One that isn't named is in service.",
+    meaning="The state of one endpoint. One without a section is in service.",
     name=NAME,
     keys=(
         Key(
--- a/eelgrassrack/document/tables/models.py
+++ b/eelgrassrack/document/tables/models.py
@@ -1,4 +1,4 @@
-"""The sections about models, their versions and cascades."""
+"""Sections about models, their versions and cascades."""
 
 from ..checks import Choice, Items, Number
 from ..schema import Key, SectionKind
@@ -8,7 +8,7 @@
 MODEL = SectionKind(
     kind="model",
     struct=Model,
-    meaning="A model; its versions are the `version` sections of its name.",
+    meaning="A model; its versions are the sections `[version MODEL/LABEL]`.",
     name=NAME,
     keys=(
         Key(
@@ -47,7 +47,7 @@
             name="quality",
             check=Number(low=0, high=1),
             unit="rating",
-            meaning="Expected rating before any answer was rated.",
+            meaning="Expected rating until answers are rated.",
         ),
     ),
 )
@@ -57,5 +57,11 @@
     struct=Cascade,
     meaning="Models tried in order, cheapest first, until one is good enough.",
     name=NAME,
-    keys=(Key(name="rungs", check=Items(item=NAME, least=1), meaning="Model names."),),
+    keys=(
+        Key(
+            name="rungs",
+            check=Items(item=NAME, min_items=1),
+            meaning="Model names, cheapest first.",
+        ),
+    ),
 )
--- a/eelgrassrack/document/tables/texts.py
+++ b/eelgrassrack/document/tables/texts.py
@@ -1,4 +1,4 @@
-"""Checks of names and other texts that several sections use."""
+"""Checks of names and other texts that several tables share."""
 
 from ..checks import Text
 
--- a/eelgrassrack/load/arrivals.py
+++ b/eelgrassrack/load/arrivals.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from .workload import Kind, Plan
+from .workload import Plan, RequestKind
 
 
 class Arrival(msgspec.Struct, kw_only=True, frozen=True):
     """One request to be sent `at` seconds after the start."""
 
     at: float
-    kind: Kind
+    kind: RequestKind
 
 
 class Schedule:
@@ -26,7 +26,7 @@
 
     __slots__ = ("_counts", "_rates", "_starts")
 
-    def __init__(self, *, plan: Plan, kind: Kind) -> None:
+    def __init__(self, *, plan: Plan, kind: RequestKind) -> None:
         phases = plan.phases
         self._rates = [
             kind.requests_per_second * phase.find_factor(kind.name) for phase in phases
@@ -65,9 +65,9 @@
     return arrivals[: plan.limits.most_requests]
 
 
-def _draw_kind(plan: Plan, kind: Kind, chance: random.Random) -> Iterator[Arrival]:
+def _draw_kind(plan: Plan, kind: RequestKind, rng: random.Random) -> Iterator[Arrival]:
     schedule = Schedule(plan=plan, kind=kind)
-    count = chance.expovariate(1.0)
+    count = rng.expovariate(1.0)
     while (at := schedule.find_time(count)) is not None:
         yield Arrival(at=at, kind=kind)
-        count += chance.expovariate(1.0)
+        count += rng.expovariate(1.0)
--- a/eelgrassrack/load/caller.py
+++ b/eelgrassrack/load/caller.py
@@ -10,20 +10,20 @@
 from tornado.httpclient import HTTPRequest
 
 from ..curl import make_client
-from .outcomes import Outcome, Unreachable, judge_response
+from .outcomes import Outcome, Unreachable, classify_response
 from .reader import AnswerReader
 from .tally import Tally
-from .workload import Kind
+from .workload import RequestKind
 
 # An entry ends a request at its deadline.  A caller that hung up at the same
 # moment would mostly miss what the entry says of it.
-DEADLINE_MARGIN = 1.0
+DEADLINE_MARGIN_SECONDS = 1.0
 
 
 class Call(msgspec.Struct, kw_only=True, frozen=True):
     """One request; `due` and `ends_at` are by the monotonic clock."""
 
-    kind: Kind
+    kind: RequestKind
     due: float
     body: bytes
     session: str = ""
@@ -76,17 +76,17 @@
         tally.responses += reader.status != 0
         if error is not None and error.errno == pycurl.E_COULDNT_CONNECT:
             return Unreachable()
-        return judge_response(reader.conclude(is_cut=error is not None))
+        return classify_response(reader.build_response(is_cut=error is not None))
 
 
 def build_request(call: Call, *, entry: str, now: float) -> HTTPRequest:
     """Return one try of a request as HTTP."""
     kind = call.kind
-    left = max(0.001, call.ends_at - now)
+    remaining = max(0.001, call.ends_at - now)
     headers = {
         "Authorization": f"Bearer {kind.key}",
         "Content-Type": "application/json" if kind.model else "text/plain",
-        "Eelgrassrack-Deadline": f"{left:.3f}",
+        "Eelgrassrack-Deadline": f"{remaining:.3f}",
         "Eelgrassrack-Kind": kind.name,
     }
     if call.session:
@@ -104,16 +104,16 @@
         method=method,
         body=None if method in ("GET", "HEAD") else call.body,
         headers=headers,
-        connect_timeout=left + DEADLINE_MARGIN,
-        request_timeout=left + DEADLINE_MARGIN,
+        connect_timeout=remaining + DEADLINE_MARGIN_SECONDS,
+        request_timeout=remaining + DEADLINE_MARGIN_SECONDS,
         allow_nonstandard_methods=True,
         decompress_response=False,
     )
 
 
-def build_body(kind: Kind, *, words: int, mark: str) -> bytes:
+def build_body(kind: RequestKind, *, words: int, unique_id: str) -> bytes:
     """Return a body of so many words, which the mark tells from others."""
-    text = " ".join([mark, *itertools.repeat("word", words - 1)])
+    text = " ".join([unique_id, *itertools.repeat("word", words - 1)])
     if not kind.model:
         return text.encode()
     body = ChatBody(
@@ -125,6 +125,6 @@
     return msgspec.json.encode(body)
 
 
-def make_mark() -> str:
+def make_unique_id() -> str:
     """Return a text that no other request has, also of another run."""
     return secrets.token_hex(8)
--- a/eelgrassrack/load/outcomes.py
+++ b/eelgrassrack/load/outcomes.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from .workload import Kind, Returns
+from .workload import RequestKind, RetryPolicy
 
 RAN = "ran"
 NOT_RUN = "not-run"
@@ -12,12 +12,12 @@
 
 # A caller whose connection was refused goes to another entry after a moment,
 # as its balancer would send it.
-UNREACHABLE_WAIT = 0.2
-BUSY = (429, 503)
+UNREACHABLE_WAIT_SECONDS = 0.2
+REFUSAL_STATUSES = (429, 503)
 SERVER_ERROR = 500
 
 
-class Whole(msgspec.Struct, kw_only=True, frozen=True):
+class Completed(msgspec.Struct, kw_only=True, frozen=True):
     """A whole answer of a version."""
 
     version: str = ""
@@ -34,19 +34,19 @@
     """Never sent: no connection came about."""
 
 
-class Broken(msgspec.Struct, kw_only=True, frozen=True):
+class AttemptFailed(msgspec.Struct, kw_only=True, frozen=True):
     """Started, but the answer isn't whole."""
 
     code: str
 
 
-class Unknown(msgspec.Struct, kw_only=True, frozen=True):
+class OutcomeUnknown(msgspec.Struct, kw_only=True, frozen=True):
     """Nobody can say whether it ran."""
 
     code: str
 
 
-Outcome = Whole | Refused | Unreachable | Broken | Unknown
+Outcome = Completed | Refused | Unreachable | AttemptFailed | OutcomeUnknown
 
 
 class Response(msgspec.Struct, kw_only=True, frozen=True):
@@ -60,7 +60,7 @@
     is_whole: bool = False
 
 
-def judge_response(response: Response) -> Outcome:
+def classify_response(response: Response) -> Outcome:
     """Return what a try came to.
 
     Something other than an entry, such as the platform's balancer, may
@@ -69,15 +69,15 @@
     """
     code = response.code or str(response.status)
     if response.is_whole:
-        return Whole(version=response.version)
+        return Completed(version=response.version)
     if response.status == NO_RESPONSE:
-        return Unknown(code=response.code or CLIENT_TIMEOUT)
-    silent_refusal = not response.run and response.status in BUSY
-    if response.run == NOT_RUN or silent_refusal:
+        return OutcomeUnknown(code=response.code or CLIENT_TIMEOUT)
+    is_unmarked_refusal = not response.run and response.status in REFUSAL_STATUSES
+    if response.run == NOT_RUN or is_unmarked_refusal:
         return Refused(code=code, wait=read_retry_after(response.retry_after))
     if response.run == RAN or response.status < SERVER_ERROR:
-        return Broken(code=code)
-    return Unknown(code=code)
+        return AttemptFailed(code=code)
+    return OutcomeUnknown(code=code)
 
 
 def read_retry_after(text: str) -> float | None:
@@ -89,24 +89,24 @@
     return seconds if 0 <= seconds < float("inf") else None
 
 
-def find_return(
-    outcome: Outcome, *, kind: Kind, tries: int, left: float
+def find_retry_delay(
+    outcome: Outcome, *, kind: RequestKind, tries: int, remaining: float
 ) -> float | None:
     """Return after how many seconds to send again, or None to give up.
 
-    `tries` is how often the request was sent and `left` the time to its
+    `tries` is how often the request was sent and `remaining` the time to its
     deadline.  Only what surely wasn't run is sent again.
     """
     match outcome, kind.returns:
         case Refused(wait=None), _:
             # Without `Retry-After` it is no use to try again.
             return None
-        case Unreachable(), Returns.WAIT:
-            pause = UNREACHABLE_WAIT
-        case Refused(wait=wait), Returns.WAIT:
+        case Unreachable(), RetryPolicy.WAIT:
+            pause = UNREACHABLE_WAIT_SECONDS
+        case Refused(wait=wait), RetryPolicy.WAIT:
             pause = wait
-        case Refused() | Unreachable(), Returns.AT_ONCE:
+        case Refused() | Unreachable(), RetryPolicy.AT_ONCE:
             pause = 0.0
         case _:
             return None
-    return pause if tries < kind.tries and pause < left else None
+    return pause if tries < kind.tries and pause < remaining else None
--- a/eelgrassrack/load/plan.py
+++ b/eelgrassrack/load/plan.py
@@ -12,10 +12,10 @@
 from ..document.faults import Fault, Faults
 from ..document.lines import RawSection, scan_text
 from ..document.parser import read_secret
-from ..document.reading import Reading, make_fault, read_sections
+from ..document.reading import ParsedSection, make_fault, read_sections
 from ..settings import read_text
 from .tables import KEY, KEY_VARIABLE, KIND, LIMITS, PHASE, PLAN
-from .workload import Kind, Limits, Phase, Plan
+from .workload import Limits, Phase, Plan, RequestKind
 
 DEFAULT_PHASE = "steady"
 DEFAULT_SECONDS = 10.0
@@ -35,26 +35,26 @@
     `environment` holds the API keys that kinds refer to by `key_env`.
     """
     scan = scan_text(text, file=file)
-    readings, faults = read_sections(scan.sections, PLAN, file=file)
+    parsed_sections, faults = read_sections(scan.sections, PLAN, file=file)
     by_kind = {
-        kind.kind: [r for n, r in readings.items() if n.kind == kind.kind]
+        kind.kind: [r for n, r in parsed_sections.items() if n.kind == kind.kind]
         for kind in PLAN
     }
     faults += scan.faults
-    faults += [fault for reading in readings.values() for fault in reading.faults]
-    for reading in by_kind[KIND.kind]:
+    faults += [fault for parsed in parsed_sections.values() for fault in parsed.faults]
+    for parsed in by_kind[KIND.kind]:
         faults += read_secret(
-            reading,
+            parsed,
             environment,
             file=file,
             key=KEY,
             variable_key=KEY_VARIABLE,
             convert=str,
         )
-        faults += _check_target(reading, file)
-    names = {reading.section.name.name for reading in by_kind[KIND.kind]}
-    for reading in by_kind[PHASE.kind]:
-        faults += _check_phase(reading, names, file)
+        faults += _check_target(parsed, file)
+    names = {parsed.section.name.name for parsed in by_kind[KIND.kind]}
+    for parsed in by_kind[PHASE.kind]:
+        faults += _check_phase(parsed, names, file)
     if not names:
         allowed = f"at least one section [{KIND.header}] is required"
         faults.append(Fault(file=file, line=1, section=KIND.kind, allowed=allowed))
@@ -63,59 +63,61 @@
     return _build_plan(by_kind)
 
 
-def _check_target(reading: Reading, file: str) -> Iterator[Fault]:
+def _check_target(parsed: ParsedSection, file: str) -> Iterator[Fault]:
     """Find faults in where a kind of request goes."""
-    given = reading.entries.keys() & {"model", "service"}
+    given = parsed.pairs.keys() & {"model", "service"}
     if len(given) != 1:
         allowed = "exactly one of model and service"
         key = "service" if given else "model"
-        yield make_fault(reading, file=file, key=key, allowed=allowed)
+        yield make_fault(parsed, file=file, key=key, allowed=allowed)
         return
     chat_only = ("max_tokens", "stream", "prompt_words")
     service_only = ("method", "path", "once")
-    useless = chat_only if "service" in given else service_only
-    for key in useless:
-        if key in reading.entries:
+    inapplicable = chat_only if "service" in given else service_only
+    for key in inapplicable:
+        if key in parsed.pairs:
             allowed = f"not together with {next(iter(given))}"
-            yield make_fault(reading, file=file, key=key, allowed=allowed)
+            yield make_fault(parsed, file=file, key=key, allowed=allowed)
 
 
-def _check_phase(reading: Reading, names: set[str], file: str) -> Iterator[Fault]:
+def _check_phase(parsed: ParsedSection, names: set[str], file: str) -> Iterator[Fault]:
     """Find names of kinds that the plan doesn't have."""
-    unknown = [name for name in reading.values.get("kinds", ()) if name not in names]
+    unknown = [name for name in parsed.values.get("kinds", ()) if name not in names]
     if unknown:
         known = ", ".join(sorted(names)) or "none"
         allowed = f"kinds of this plan, not {', '.join(unknown)}; known: {known}"
-        yield make_fault(reading, file=file, key="kinds", allowed=allowed)
+        yield make_fault(parsed, file=file, key="kinds", allowed=allowed)
 
 
-def _build_plan(by_kind: Mapping[str, list[Reading]]) -> Plan:
-    limits = [Limits(**reading.values) for reading in by_kind[LIMITS.kind]]
+def _build_plan(by_kind: Mapping[str, list[ParsedSection]]) -> Plan:
+    limits = [Limits(**parsed.values) for parsed in by_kind[LIMITS.kind]]
     phases = tuple(
-        Phase(name=_name(reading.section), **reading.values)
-        for reading in by_kind[PHASE.kind]
+        Phase(name=_get_name(parsed.section), **parsed.values)
+        for parsed in by_kind[PHASE.kind]
     )
     return Plan(
         kinds=tuple(
-            Kind(name=_name(reading.section), **reading.values)
-            for reading in by_kind[KIND.kind]
+            RequestKind(name=_get_name(parsed.section), **parsed.values)
+            for parsed in by_kind[KIND.kind]
         ),
         phases=phases or (Phase(name=DEFAULT_PHASE, seconds=DEFAULT_SECONDS),),
         limits=limits[0] if limits else Limits(),
     )
 
 
-def _name(section: RawSection) -> str:
+def _get_name(section: RawSection) -> str:
     return section.name.name
 
 
 def shorten_plan(plan: Plan, *, seconds: float) -> Plan:
     """Return the plan with its phases cut off after so many seconds."""
     phases = []
-    left = seconds
+    remaining = seconds
     for phase in plan.phases:
-        if left <= 0:
+        if remaining <= 0:
             break
-        phases.append(msgspec.structs.replace(phase, seconds=min(phase.seconds, left)))
-        left -= phase.seconds
+        phases.append(
+            msgspec.structs.replace(phase, seconds=min(phase.seconds, remaining))
+        )
+        remaining -= phase.seconds
     return msgspec.structs.replace(plan, phases=tuple(phases))
--- a/eelgrassrack/load/plot.py
+++ b/eelgrassrack/load/plot.py
@@ -37,11 +37,11 @@
     above.set(xlabel="second of arrival", ylabel="requests")
     above.legend(loc="upper right")
     rows = [row for row in report.rows if row.whole.count]
-    places = range(len(rows))
+    positions = range(len(rows))
     for name, height in (("p99", 0.8), ("p95", 0.6), ("p50", 0.4)):
         values = [getattr(row.whole, name) for row in rows]
-        below.barh(places, values, height=height, label=name, alpha=0.6)
-    below.set_yticks(places, [f"{row.organisation}: {row.kind}" for row in rows])
+        below.barh(positions, values, height=height, label=name, alpha=0.6)
+    below.set_yticks(positions, [f"{row.organisation}: {row.kind}" for row in rows])
     below.set(xlabel="whole answer, ms from arrival")
     below.legend(loc="lower right")
     figure.tight_layout()
--- a/eelgrassrack/load/reader.py
+++ b/eelgrassrack/load/reader.py
@@ -6,17 +6,17 @@
 
 from .outcomes import CLIENT_TIMEOUT, NO_RESPONSE, RAN, Response
 from .tally import Tally
-from .workload import Kind
+from .workload import RequestKind
 
-EVENT = b"data: "
-CONTENT = b'"content"'
+EVENT_PREFIX = b"data: "
+CONTENT_FIELD = b'"content"'
 STREAM_END = b"data: [DONE]"
-LAST_BYTES = 4096
+STREAM_TAIL_BYTES = 4096
 CUT = "cut"
 OK = 200
 
 # What a service says of a request is its answer, unless it failed.
-SERVICE_ANSWERS = range(200, 500)
+SERVICE_ANSWER_STATUSES = range(200, 500)
 
 
 class Message(msgspec.Struct, frozen=True):
@@ -56,21 +56,21 @@
     __slots__ = (
         "_body",
         "_due",
-        "_fields",
+        "_headers",
         "_kind",
-        "_last",
-        "_streams",
+        "_last_token_at",
+        "_is_streamed",
         "_tally",
         "status",
     )
 
-    def __init__(self, *, kind: Kind, due: float, tally: Tally) -> None:
+    def __init__(self, *, kind: RequestKind, due: float, tally: Tally) -> None:
         self._body = b""
         self._due = due
-        self._fields: dict[str, str] = {}
+        self._headers: dict[str, str] = {}
         self._kind = kind
-        self._last = 0.0
-        self._streams = bool(kind.model) and kind.stream
+        self._last_token_at = 0.0
+        self._is_streamed = bool(kind.model) and kind.stream
         self._tally = tally
         self.status = 0
 
@@ -78,10 +78,10 @@
         """Take one line of a response's head; the last response counts."""
         if line.startswith("HTTP/"):
             self.status = int(line.split(None, 2)[1])
-            self._fields.clear()
+            self._headers.clear()
             return
         name, _, value = line.partition(":")
-        self._fields[name.strip().lower()] = value.strip()
+        self._headers[name.strip().lower()] = value.strip()
 
     def read(self, data: bytes) -> None:
         """Take a part of the body.
@@ -90,44 +90,44 @@
         together, and a gap of nothing between them would flatter.  Of a
         stream only the end is kept, for it says whether it is whole.
         """
-        if not self._streams or self.status != OK:
+        if not self._is_streamed or self.status != OK:
             self._body += data
             return
-        self._body = (self._body + data)[-LAST_BYTES:]
-        if CONTENT not in data:
+        self._body = (self._body + data)[-STREAM_TAIL_BYTES:]
+        if CONTENT_FIELD not in data:
             return
         now = time.monotonic()
-        if self._last:
-            self._tally.add_gap(now - self._last)
+        if self._last_token_at:
+            self._tally.add_gap(now - self._last_token_at)
         else:
             self._tally.add_first(now - self._due)
-        self._last = now
+        self._last_token_at = now
 
-    def conclude(self, *, is_cut: bool) -> Response:
+    def build_response(self, *, is_cut: bool) -> Response:
         """Return what came, once its connection is done with it.
 
         Without a status nothing came.  With one, an answer that was cut
         off is broken rather than unknown: its caller saw it begin.
         """
-        find = self._fields.get
-        run = find("eelgrassrack-run", "")
-        missing = (CUT if self.status else CLIENT_TIMEOUT) if is_cut else ""
+        get_header = self._headers.get
+        run = get_header("eelgrassrack-run", "")
+        default_code = (CUT if self.status else CLIENT_TIMEOUT) if is_cut else ""
         return Response(
             status=self.status or NO_RESPONSE,
             run=run,
-            retry_after=find("retry-after", ""),
-            version=find("eelgrassrack-version", ""),
-            code=self._find_code() or missing,
+            retry_after=get_header("retry-after", ""),
+            version=get_header("eelgrassrack-version", ""),
+            code=self._find_code() or default_code,
             is_whole=not is_cut and self._is_whole(run),
         )
 
     def _is_whole(self, run: str) -> bool:
         """Tell whether an answer that wasn't cut off is whole."""
         if self._kind.service:
-            return self.status in SERVICE_ANSWERS and run in ("", RAN)
+            return self.status in SERVICE_ANSWER_STATUSES and run in ("", RAN)
         if self.status != OK:
             return False
-        if self._streams:
+        if self._is_streamed:
             return self._body.rstrip().endswith(STREAM_END)
         try:
             answer = msgspec.json.decode(self._body, type=PlainAnswer)
@@ -137,7 +137,9 @@
 
     def _find_code(self) -> str:
         """Return the code of an error body or of a stream's last event."""
-        body = self._body.rpartition(EVENT)[2] if self._streams else self._body
+        body = (
+            self._body.rpartition(EVENT_PREFIX)[2] if self._is_streamed else self._body
+        )
         try:
             return msgspec.json.decode(body, type=ErrorBody).error.code or ""
         except msgspec.DecodeError:
--- a/eelgrassrack/load/report.py
+++ b/eelgrassrack/load/report.py
@@ -5,14 +5,14 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from .tally import Result, Tally
+from .tally import RequestResult, Tally
 from .workload import Plan
 
-MILLISECOND_US = 1_000
+MICROSECONDS_PER_MILLISECOND = 1_000
 
 # Above this the loop of the tool itself delays what it measures.
-MOST_CPU_SHARE = 0.7
-MOST_LAG_MS = 20.0
+MAX_CPU_SHARE = 0.7
+MAX_LAG_MS = 20.0
 
 
 class Times(msgspec.Struct, kw_only=True, frozen=True):
@@ -92,8 +92,8 @@
     @property
     def is_tool_busy(self) -> bool:
         """Tell whether the tool may have delayed what it measured."""
-        late = (self.lag.p99 or 0.0) > MOST_LAG_MS
-        return late or self.totals.cpu_share > MOST_CPU_SHARE
+        late = (self.lag.p99 or 0.0) > MAX_LAG_MS
+        return late or self.totals.cpu_share > MAX_CPU_SHARE
 
 
 def build_report(
@@ -102,7 +102,7 @@
     tallies: Mapping[str, Tally],
     totals: Totals,
     lag: HdrHistogram,
-    seconds: Mapping[int, Mapping[Result, int]],
+    seconds: Mapping[int, Mapping[RequestResult, int]],
 ) -> Report:
     """Return the report of a run."""
     return Report(
@@ -124,7 +124,7 @@
     if not count:
         return Times(count=0)
     p50, p95, p99, longest = (
-        histogram.get_value_at_percentile(percentile) / MILLISECOND_US
+        histogram.get_value_at_percentile(percentile) / MICROSECONDS_PER_MILLISECOND
         for percentile in (50, 95, 99, 100)
     )
     return Times(count=count, p50=p50, p95=p95, p99=p99, longest=longest)
@@ -148,6 +148,6 @@
     )
 
 
-def _name_results(counts: Mapping[Result, int]) -> dict[str, int]:
+def _name_results(counts: Mapping[RequestResult, int]) -> dict[str, int]:
     """Return the counts by the names of the fields that hold them."""
-    return {result.name.lower(): counts.get(result, 0) for result in Result}
+    return {result.name.lower(): counts.get(result, 0) for result in RequestResult}
--- a/eelgrassrack/load/runner.py
+++ b/eelgrassrack/load/runner.py
@@ -5,14 +5,22 @@
 import time
 
 from .arrivals import Arrival, draw_arrivals
-from .caller import DEADLINE_MARGIN, Call, Callers, build_body, make_mark
-from .outcomes import Broken, Outcome, Refused, Unknown, Unreachable, Whole, find_return
+from .caller import DEADLINE_MARGIN_SECONDS, Call, Callers, build_body, make_unique_id
+from .outcomes import (
+    AttemptFailed,
+    Completed,
+    Outcome,
+    OutcomeUnknown,
+    Refused,
+    Unreachable,
+    find_retry_delay,
+)
 from .report import Report, Totals, build_report
-from .tally import Result, Tally, add_seconds, make_histogram
-from .workload import Kind, Plan
+from .tally import RequestResult, Tally, add_seconds, make_histogram
+from .workload import Plan, RequestKind
 
 # Slack for the loop to notice that the last requests have ended.
-END_SECONDS = 5.0
+LAST_ANSWERS_SLACK_SECONDS = 5.0
 UNREACHABLE = "unreachable"
 
 
@@ -31,12 +39,12 @@
     def __init__(self, *, plan: Plan, entries: list[str]) -> None:
         self._plan = plan
         self._callers = Callers(entries=entries, most_at_once=plan.limits.most_at_once)
-        self._chance = random.Random(plan.limits.seed)
-        self._fault: BaseException | None = None
+        self._rng = random.Random(plan.limits.seed)
+        self._tool_error: BaseException | None = None
         self._lag = make_histogram()
-        self._mark = make_mark()
+        self._run_id = make_unique_id()
         self._most_at_once = 0
-        self._seconds: dict[int, dict[Result, int]] = {}
+        self._seconds: dict[int, dict[RequestResult, int]] = {}
         self._tallies = {kind.name: Tally() for kind in plan.kinds}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -50,9 +58,9 @@
         began, cpu_began = time.monotonic(), time.process_time()
         for arrival in arrivals:
             await asyncio.sleep(max(0.0, began + arrival.at - time.monotonic()))
-            self._check()
-            self._begin(arrival, due=began + arrival.at)
-        await self._finish()
+            self._raise_tool_error()
+            self._start_request(arrival, due=began + arrival.at)
+        await self._wait_for_answers()
         seconds = time.monotonic() - began
         totals = Totals(
             arrivals=len(arrivals),
@@ -68,22 +76,22 @@
             seconds=self._seconds,
         )
 
-    def _begin(self, arrival: Arrival, *, due: float) -> None:
+    def _start_request(self, arrival: Arrival, *, due: float) -> None:
         """Start a request, unless too many are under way already."""
         kind = arrival.kind
         second = int(arrival.at)
         add_seconds(self._lag, time.monotonic() - due)
         self._tallies[kind.name].requests += 1
         if len(self._tasks) >= self._plan.limits.most_at_once:
-            self._count(kind, second, Result.NOT_SENT)
+            self._count_result(kind, second, RequestResult.NOT_SENT)
             return
         call = self._make_call(kind, due)
-        task = asyncio.create_task(self._serve(call, second))
+        task = asyncio.create_task(self._send_until_done(call, second))
         self._tasks.add(task)
-        task.add_done_callback(self._end)
+        task.add_done_callback(self._end_request)
         self._most_at_once = max(self._most_at_once, len(self._tasks))
 
-    def _end(self, task: asyncio.Task[None]) -> None:
+    def _end_request(self, task: asyncio.Task[None]) -> None:
         """Forget a request, and keep a fault of the tool itself.
 
         Such a fault must end the run: counted as one of the entries', it
@@ -91,88 +99,92 @@
         """
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._fault = task.exception()
+            self._tool_error = task.exception()
 
-    def _check(self) -> None:
+    def _raise_tool_error(self) -> None:
         """Raise a fault of the tool itself."""
-        if self._fault is not None:
-            raise self._fault
+        if self._tool_error is not None:
+            raise self._tool_error
 
-    async def _finish(self) -> None:
+    async def _wait_for_answers(self) -> None:
         """Wait for the last answers; each ends by itself at its deadline."""
         longest = max(kind.deadline for kind in self._plan.kinds)
-        wait = longest + DEADLINE_MARGIN + END_SECONDS
+        wait = longest + DEADLINE_MARGIN_SECONDS + LAST_ANSWERS_SLACK_SECONDS
         if self._tasks:
             await asyncio.wait(tuple(self._tasks), timeout=wait)
-        await self._cancel()
-        self._check()
+        await self._cancel_requests()
+        self._raise_tool_error()
 
-    async def _cancel(self) -> None:
+    async def _cancel_requests(self) -> None:
         """End what is still under way; its requests count as unknown."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _serve(self, call: Call, second: int) -> None:
+    async def _send_until_done(self, call: Call, second: int) -> None:
         """Send a request until it is answered or its caller gives up."""
         tally = self._tallies[call.kind.name]
         tries = 0
-        result = Result.UNKNOWN
+        result = RequestResult.UNKNOWN
         try:
             while True:
                 tries += 1
-                result = Result.UNKNOWN
+                result = RequestResult.UNKNOWN
                 tally.tries += 1
                 outcome = await self._callers.send(call, tally=tally)
                 now = time.monotonic()
-                result = note_outcome(outcome, call=call, tally=tally, now=now)
-                pause = find_return(
-                    outcome, kind=call.kind, tries=tries, left=call.ends_at - now
+                result = record_outcome(outcome, call=call, tally=tally, now=now)
+                pause = find_retry_delay(
+                    outcome, kind=call.kind, tries=tries, remaining=call.ends_at - now
                 )
                 if pause is None:
                     return
                 await asyncio.sleep(pause)
         finally:
-            self._count(call.kind, second, result)
+            self._count_result(call.kind, second, result)
 
-    def _count(self, kind: Kind, second: int, result: Result) -> None:
+    def _count_result(
+        self, kind: RequestKind, second: int, result: RequestResult
+    ) -> None:
         self._tallies[kind.name].results[result] += 1
-        counts = self._seconds.setdefault(second, dict.fromkeys(Result, 0))
+        counts = self._seconds.setdefault(second, dict.fromkeys(RequestResult, 0))
         counts[result] += 1
 
-    def _make_call(self, kind: Kind, due: float) -> Call:
+    def _make_call(self, kind: RequestKind, due: float) -> Call:
         """Draw a request's session and prompt."""
-        words = int(self._chance.choice(kind.prompt_words))
-        number = self._chance.randrange(kind.sessions)
-        in_session = self._chance.random() < kind.session_share
-        mark = make_mark()
+        words = int(self._rng.choice(kind.prompt_words))
+        number = self._rng.randrange(kind.sessions)
+        in_session = self._rng.random() < kind.session_share
+        unique_id = make_unique_id()
         return Call(
             kind=kind,
             due=due,
-            body=build_body(kind, words=words, mark=mark),
-            session=f"{self._mark}-{kind.name}-{number}" if in_session else "",
-            idempotency_key=mark if kind.once else "",
+            body=build_body(kind, words=words, unique_id=unique_id),
+            session=f"{self._run_id}-{kind.name}-{number}" if in_session else "",
+            idempotency_key=unique_id if kind.once else "",
         )
 
 
-def note_outcome(outcome: Outcome, *, call: Call, tally: Tally, now: float) -> Result:
+def record_outcome(
+    outcome: Outcome, *, call: Call, tally: Tally, now: float
+) -> RequestResult:
     """Record what a try came to and return what that makes of the request."""
     match outcome:
-        case Whole(version=version):
+        case Completed(version=version):
             tally.versions[version] += 1
             add_seconds(tally.whole, now - call.due)
-            return Result.IN_TIME if now <= call.ends_at else Result.LATE
+            return RequestResult.IN_TIME if now <= call.ends_at else RequestResult.LATE
         case Refused(code=code, wait=wait):
             tally.add_refusal(wait)
             tally.codes[code] += 1
-            return Result.REFUSED
+            return RequestResult.REFUSED
         case Unreachable():
             tally.codes[UNREACHABLE] += 1
-            return Result.REFUSED
-        case Broken(code=code):
+            return RequestResult.REFUSED
+        case AttemptFailed(code=code):
             tally.codes[code] += 1
-            return Result.BROKEN
-        case Unknown(code=code):
+            return RequestResult.BROKEN
+        case OutcomeUnknown(code=code):
             tally.codes[code] += 1
-    return Result.UNKNOWN
+    return RequestResult.UNKNOWN
--- a/eelgrassrack/load/tables.py
+++ b/eelgrassrack/load/tables.py
@@ -3,7 +3,7 @@
 from ..document.checks import Choice, Flag, Items, Number, Text
 from ..document.schema import Key, SectionKind
 from ..document.tables.texts import GRANT, NAME, VARIABLE
-from .workload import Kind, Limits, Phase, Returns
+from .workload import Limits, Phase, RequestKind, RetryPolicy
 
 KEY = "key"
 KEY_VARIABLE = "key_env"
@@ -15,7 +15,7 @@
 
 KIND = SectionKind(
     kind="kind",
-    struct=Kind,
+    struct=RequestKind,
     meaning="One kind of request of one organisation. Needs one of `key` and "
     "`key_env`, and one of `model` and `service`.",
     name=NAME,
@@ -69,13 +69,13 @@
         ),
         Key(
             name="prompt_words",
-            check=Items(item=WORDS, least=1),
+            check=Items(item=WORDS, min_items=1),
             unit="words",
             meaning="Sizes of prompts, drawn evenly.",
         ),
         Key(
             name="returns",
-            check=Choice(options=Returns),
+            check=Choice(options=RetryPolicy),
             meaning="What callers do after a refusal.",
         ),
         Key(
--- a/eelgrassrack/load/tally.py
+++ b/eelgrassrack/load/tally.py
@@ -5,22 +5,22 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US, HIGHEST_US, DIGITS = 1, 3_600_000_000, 3
-MICROSECONDS = 1_000_000
+LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS = 1, 3_600_000_000, 3
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def make_histogram() -> HdrHistogram:
     """Return an empty histogram of microseconds, up to an hour."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
 def add_seconds(histogram: HdrHistogram, seconds: float) -> None:
     """Record a time."""
-    value = int(seconds * MICROSECONDS)
+    value = int(seconds * MICROSECONDS_PER_SECOND)
     histogram.record_value(min(max(value, LOWEST_US), HIGHEST_US))
 
 
-class Result(enum.Enum):
+class RequestResult(enum.Enum):
     """What a request came to in the end, with all its tries."""
 
     IN_TIME = "in time"
@@ -59,7 +59,7 @@
         self.refusals = 0
         self.requests = 0
         self.responses = 0
-        self.results: collections.Counter[Result] = collections.Counter()
+        self.results: collections.Counter[RequestResult] = collections.Counter()
         self.tries = 0
         self.versions: collections.Counter[str] = collections.Counter()
         self.waits = make_histogram()
--- a/eelgrassrack/load/workload.py
+++ b/eelgrassrack/load/workload.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Returns(enum.Enum):
+class RetryPolicy(enum.Enum):
     """What callers do after a refusal.
 
     `wait` obeys `Retry-After`, `at-once` sends again without a pause, as
@@ -17,7 +17,7 @@
     NEVER = "never"
 
 
-class Kind(msgspec.Struct, kw_only=True, frozen=True):
+class RequestKind(msgspec.Struct, kw_only=True, frozen=True):
     """One kind of request that an organisation sends.
 
     `deadline` is in seconds from the request's arrival.  `session_share`
@@ -41,7 +41,7 @@
     session_share: float = 0.0
     sessions: int = 20
     prompt_words: tuple[str, ...] = ("32",)
-    returns: Returns = Returns.WAIT
+    returns: RetryPolicy = RetryPolicy.WAIT
     tries: int = 5
 
 
@@ -73,7 +73,7 @@
 class Plan(msgspec.Struct, kw_only=True, frozen=True):
     """A load experiment: what is sent, when, and its bounds."""
 
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     phases: tuple[Phase, ...]
     limits: Limits = Limits()
 
--- a/eelgrassrack/ui/changes.py
+++ b/eelgrassrack/ui/changes.py
@@ -91,8 +91,8 @@
             lines = [f"refused: {reason}", *map(str, faults)]
             raise RefusedError("\n".join(lines))
         case Unavailable(reason=reason, maybe_written=maybe_written):
-            doubt = "; the change may have been made" if maybe_written else ""
-            raise UnavailableError(f"platform unavailable: {reason}{doubt}")
+            suffix = "; the change may have been made" if maybe_written else ""
+            raise UnavailableError(f"platform unavailable: {reason}{suffix}")
 
 
 def print_change(change: Change, *, as_json: bool) -> None:
--- a/eelgrassrack/ui/commands/apply.py
+++ b/eelgrassrack/ui/commands/apply.py
@@ -32,12 +32,12 @@
     all_agents: int
 
     @property
-    def everywhere(self) -> bool:
+    def is_everywhere(self) -> bool:
         """Tell whether every daemon that was asked or seen has it."""
         return self.entries == self.all_entries and self.agents == self.all_agents
 
 
-class Outcome(msgspec.Struct, kw_only=True, frozen=True):
+class ApplyOutput(msgspec.Struct, kw_only=True, frozen=True):
     """What `apply --json` prints."""
 
     change: Change
@@ -94,11 +94,11 @@
         if self.wait is not None:
             in_force = await self._wait_for(change.revision, tools)
         if self.as_json:
-            print_json(Outcome(change=change, in_force=in_force))
+            print_json(ApplyOutput(change=change, in_force=in_force))
         else:
             print_change(change, as_json=False)
             print_in_force(in_force)
-        return OK if in_force is None or in_force.everywhere else UNAVAILABLE
+        return OK if in_force is None or in_force.is_everywhere else UNAVAILABLE
 
     def _read_proposed(self, tools: Tools) -> str:
         """Return the file's text; raise on faults of the file's own sections.
@@ -122,7 +122,7 @@
         while True:
             statuses = await fetch_statuses(tools=tools, urls=self.entries)
             in_force = count_in_force(statuses, revision)
-            if in_force.everywhere or tools.clock() >= end:
+            if in_force.is_everywhere or tools.clock() >= end:
                 return in_force
             await tools.sleep(POLL_SECONDS)
 
--- a/eelgrassrack/ui/commands/audit.py
+++ b/eelgrassrack/ui/commands/audit.py
@@ -15,7 +15,7 @@
 from ..output import print_json, print_table
 from ..tools import Tools, make_tools
 
-USUAL_LIMIT = 50
+DEFAULT_LIMIT = 50
 
 
 @cappa.command(name="audit", help="Print the audit trail of document changes.")
@@ -26,7 +26,7 @@
     objects: ObjectsUrl
     limit: Annotated[
         int, cappa.Arg(long="--limit", help="How many of the newest changes.")
-    ] = USUAL_LIMIT
+    ] = DEFAULT_LIMIT
     as_json: AsJson = False
 
     def __call__(self, tools: Annotated[Tools, cappa.Dep(make_tools)]) -> int:
--- a/eelgrassrack/ui/commands/bills.py
+++ b/eelgrassrack/ui/commands/bills.py
@@ -14,7 +14,7 @@
 from ..output import print_json, print_table
 from ..tools import Tools, make_tools
 
-MONEY_UNIT = 1_000_000
+MILLIONTHS_PER_UNIT = 1_000_000
 
 
 @cappa.command(name="bills", help="Print the bills' sums by organisation.")
@@ -56,7 +56,7 @@
                 sums.attempts,
                 sums.prompt_tokens,
                 sums.completion_tokens,
-                f"{sums.money / MONEY_UNIT:.6f}",
+                f"{sums.money / MILLIONTHS_PER_UNIT:.6f}",
             )
             for sums in totals.organisations
         ],
--- a/eelgrassrack/ui/commands/load.py
+++ b/eelgrassrack/ui/commands/load.py
@@ -17,7 +17,7 @@
 from ..output import print_json, print_table
 from ..tools import Tools, make_tools
 
-NOTHING = "-"
+NO_VALUE = "-"
 
 
 @cappa.command(name="load", help="Run a load experiment; print what callers got.")
@@ -112,6 +112,6 @@
 def _format_times(times: Times, *, unit: float = 1.0) -> str:
     """Return percentiles, divided by a unit in milliseconds."""
     if not times.count:
-        return NOTHING
+        return NO_VALUE
     values = (times.p50, times.p95, times.p99)
     return " / ".join(f"{value / unit:.1f}" for value in values)
--- a/eelgrassrack/ui/commands/show.py
+++ b/eelgrassrack/ui/commands/show.py
@@ -16,7 +16,7 @@
 from ..tools import Tools, make_tools
 
 
-class Shown(msgspec.Struct, kw_only=True, frozen=True):
+class ShowOutput(msgspec.Struct, kw_only=True, frozen=True):
     """What `show --json` prints."""
 
     revision: int
@@ -38,7 +38,7 @@
         """Print the document."""
         state = asyncio.run(self.read(tools))
         if self.as_json:
-            print_json(Shown(revision=state.revision, text=state.text))
+            print_json(ShowOutput(revision=state.revision, text=state.text))
         else:
             print(state.text, end="" if state.text.endswith("\n") else "\n")
         return OK
--- a/eelgrassrack/ui/commands/status.py
+++ b/eelgrassrack/ui/commands/status.py
@@ -12,15 +12,15 @@
 from ..errors import OK, UNAVAILABLE
 from ..options import AsJson, RequiredEntryUrls
 from ..output import print_json, print_table
-from ..statuses import Silent, fetch_statuses
+from ..statuses import StatusFailure, fetch_statuses
 from ..tools import Tools, make_tools
 
 
-class Statuses(msgspec.Struct, kw_only=True, frozen=True):
+class StatusOutput(msgspec.Struct, kw_only=True, frozen=True):
     """What `status --json` prints."""
 
     entries: tuple[EntryStatus, ...]
-    silent: tuple[Silent, ...]
+    silent: tuple[StatusFailure, ...]
 
 
 @cappa.command(name="status", help="Print endpoints, versions and revisions in force.")
@@ -34,24 +34,24 @@
     def __call__(self, tools: Annotated[Tools, cappa.Dep(make_tools)]) -> int:
         """Ask the entries and print what they know."""
         answers = asyncio.run(fetch_statuses(tools=tools, urls=self.entries))
-        statuses = Statuses(
+        output = StatusOutput(
             entries=tuple(item for item in answers if isinstance(item, EntryStatus)),
-            silent=tuple(item for item in answers if isinstance(item, Silent)),
+            silent=tuple(item for item in answers if isinstance(item, StatusFailure)),
         )
         if self.as_json:
-            print_json(statuses)
+            print_json(output)
         else:
-            print_statuses(statuses)
-        return UNAVAILABLE if statuses.silent else OK
+            print_statuses(output)
+        return UNAVAILABLE if output.silent else OK
 
 
-def print_statuses(statuses: Statuses) -> None:
+def print_statuses(output: StatusOutput) -> None:
     """Print tables of entries, endpoints and versions."""
     print_table(
         ("entry", "revision", "requests", "bills waiting", "problem"),
         [
-            *map(_list_entry, statuses.entries),
-            *((silent.url, "", "", "", silent.reason) for silent in statuses.silent),
+            *map(_list_entry, output.entries),
+            *((silent.url, "", "", "", silent.reason) for silent in output.silent),
         ],
     )
     print_table(
@@ -67,7 +67,7 @@
             "revision",
             "report age s",
         ),
-        [_list_endpoint(endpoint) for endpoint in merge_endpoints(statuses)],
+        [_list_endpoint(endpoint) for endpoint in merge_endpoints(output)],
     )
     print_table(
         ("version", "entry", "state", "weight", "share", "why"),
@@ -80,16 +80,16 @@
                 version.share,
                 version.why,
             )
-            for entry in statuses.entries
+            for entry in output.entries
             for version in entry.versions
         ],
     )
 
 
-def merge_endpoints(statuses: Statuses) -> list[EndpointStatus]:
+def merge_endpoints(output: StatusOutput) -> list[EndpointStatus]:
     """Return each endpoint once, by the freshest report that an entry has."""
     freshest: dict[str, EndpointStatus] = {}
-    for endpoint in (item for entry in statuses.entries for item in entry.endpoints):
+    for endpoint in (item for entry in output.entries for item in entry.endpoints):
         known = freshest.get(endpoint.name)
         if known is None or endpoint.age < known.age:
             freshest[endpoint.name] = endpoint
--- a/eelgrassrack/ui/commands/withdraw.py
+++ b/eelgrassrack/ui/commands/withdraw.py
@@ -16,7 +16,7 @@
 from ..tools import Tools, make_tools
 
 # The largest weight that the document allows.
-MOST_WEIGHT = 100.0
+MAX_WEIGHT = 100.0
 
 
 @cappa.command(name="withdraw", help="Give a version no new work.")
@@ -69,7 +69,7 @@
         if not self.heir:
             return
         weight = versions[self.version].weight + versions[self.heir].weight
-        value = f"{min(weight, MOST_WEIGHT):.12g}"
+        value = f"{min(weight, MAX_WEIGHT):.12g}"
         heir = SectionName("version", self.heir)
         yield KeyChange(section=heir, key="weight", value=value)
 
--- a/eelgrassrack/ui/output.py
+++ b/eelgrassrack/ui/output.py
@@ -10,7 +10,7 @@
 import rich.text
 
 # Without a terminal rich would cut every table at 80 columns.
-PLAIN_WIDTH = 200
+PIPED_WIDTH = 200
 
 
 def print_json(value: object) -> None:
@@ -30,7 +30,7 @@
         table.add_row(*(rich.text.Text(_format_cell(cell)) for cell in row))
     console = rich.console.Console(file=sys.stdout)
     if not console.is_terminal:
-        console.width = PLAIN_WIDTH
+        console.width = PIPED_WIDTH
     console.print(table)
 
 
--- a/eelgrassrack/ui/statuses.py
+++ b/eelgrassrack/ui/statuses.py
@@ -10,7 +10,7 @@
 from .tools import Tools
 
 
-class Silent(msgspec.Struct, kw_only=True, frozen=True):
+class StatusFailure(msgspec.Struct, kw_only=True, frozen=True):
     """An entry that gave no usable answer."""
 
     url: str
@@ -19,17 +19,17 @@
 
 async def fetch_statuses(
     *, tools: Tools, urls: Iterable[str]
-) -> tuple[EntryStatus | Silent, ...]:
+) -> tuple[EntryStatus | StatusFailure, ...]:
     """Ask all entries at once."""
     statuses = await asyncio.gather(*(_fetch_status(tools, url) for url in urls))
     return tuple(statuses)
 
 
-async def _fetch_status(tools: Tools, url: str) -> EntryStatus | Silent:
+async def _fetch_status(tools: Tools, url: str) -> EntryStatus | StatusFailure:
     try:
         body = await tools.fetch(f"{url.rstrip('/')}/status")
         return msgspec.json.decode(body, type=EntryStatus)
     except UnavailableError as error:
-        return Silent(url=url, reason=str(error))
+        return StatusFailure(url=url, reason=str(error))
     except msgspec.DecodeError as error:
-        return Silent(url=url, reason=f"unreadable status: {error}")
+        return StatusFailure(url=url, reason=f"unreadable status: {error}")
--- a/eelgrassrack/ui/tools.py
+++ b/eelgrassrack/ui/tools.py
@@ -16,14 +16,14 @@
 from ..store.objects import ObjectStore
 from .errors import UnavailableError
 
-FETCH_TIMEOUT = 5.0
+FETCH_TIMEOUT_SECONDS = 5.0
 
 # A daemon's budget is for a steady state.  A command lives for a moment and
 # reads each section of the document once: with a daemon's budget it would
 # fail on a document of a hundred sections.  The platform takes about two
 # thousand reads a second.
 CALLS_PER_SECOND = 200.0
-CALLS_AT_ONCE = 1_000.0
+BURST_CALLS = 1_000.0
 
 
 class Tools(msgspec.Struct, kw_only=True, frozen=True):
@@ -57,7 +57,7 @@
     store = HttpObjectStore(
         url=url.rstrip("/"),
         caller="operator",
-        budget=CallBudget(per_second=CALLS_PER_SECOND, burst=CALLS_AT_ONCE),
+        budget=CallBudget(per_second=CALLS_PER_SECOND, burst=BURST_CALLS),
     )
     try:
         yield store
@@ -69,7 +69,7 @@
     """Return the body of a `GET`; raise `UnavailableError` if there is none."""
     client = make_client(max_clients=1)
     try:
-        response = await client.fetch(url, request_timeout=FETCH_TIMEOUT)
+        response = await client.fetch(url, request_timeout=FETCH_TIMEOUT_SECONDS)
     except (HTTPClientError, OSError, ValueError) as error:
         raise UnavailableError(f"{url}: {error}") from error
     finally:
--- a/test/document/test_builder.py
+++ b/test/document/test_builder.py
@@ -1,4 +1,4 @@
-"""Tests of snapshots built section by section."""
+"""Tests of the incremental building of snapshots."""
 
 import pathlib
 
@@ -12,30 +12,32 @@
 
 
 @pytest.mark.parametrize("name", ["keelwater.ini", "cimq.ini"])
-def test_equals_the_whole_document_read_at_once(name):
+def test_snapshot_equals_that_of_the_parser(name):
     text = (EXAMPLES / name).read_text()
     builder = SnapshotBuilder()
-    changed = text.replace("[domain ", "# A remark.\n[domain ", 1)
-    for revision, each in enumerate((text, changed, text), start=1):
-        built = builder.build(texts=split_sections(each).values(), revision=revision)
-        assert built == parse_document(text=each, revision=revision)
+    commented = text.replace("[domain ", "# A remark.\n[domain ", 1)
+    for revision, document in enumerate((text, commented, text), start=1):
+        built = builder.build(
+            texts=split_sections(document).values(), revision=revision
+        )
+        assert built == parse_document(text=document, revision=revision)
 
 
-def test_a_removed_section_is_gone():
-    """A team removes a section that an earlier revision had.
+def test_a_removed_section_is_not_kept():
+    """Guards against a removed section that is still served from the cache.
 
-    Were the earlier reading kept, its organisation could still call.
+    Its organisation could go on sending requests.
     """
     text = (EXAMPLES / "cimq.ini").read_text()
     sections = split_sections(text)
     builder = SnapshotBuilder()
     builder.build(texts=sections.values(), revision=1)
-    gone = next(name for name in sections if name.kind == "organisation")
-    left = [each for name, each in sections.items() if name != gone]
-    assert gone.name not in builder.build(texts=left, revision=2).organisations
+    removed = next(name for name in sections if name.kind == "organisation")
+    rest = [section for name, section in sections.items() if name != removed]
+    assert removed.name not in builder.build(texts=rest, revision=2).organisations
 
 
-def test_a_faulty_section_builds_nothing():
+def test_no_snapshot_is_built_from_an_invalid_section():
     assert (
         SnapshotBuilder().build(texts=["[version x]\nstate = odd\n"], revision=1)
         is None
--- a/test/document/test_parser.py
+++ b/test/document/test_parser.py
@@ -1,4 +1,4 @@
-"""Tests of the parser: every fault with its exact place, and a sound text."""
+"""Tests of the parser: a valid text, and faults with their exact position."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from eelgrassrack.document.snapshot import Snapshot
 
 DIGEST = "a" * 64
-SOUND = f"""\
+VALID = f"""\
 # One organisation, one model with two versions, one service.
 [organisation lab]
 key_digest = {DIGEST}
@@ -54,8 +54,8 @@
     return result.faults
 
 
-def test_sound_text():
-    snapshot = parse_document(text=SOUND, revision=7)
+def test_valid_text():
+    snapshot = parse_document(text=VALID, revision=7)
     assert isinstance(snapshot, Snapshot)
     assert snapshot.revision == 7
     lab = snapshot.find_organisation(key_digest=DIGEST)
@@ -74,8 +74,8 @@
     assert snapshot.policy.latency == 3
 
 
-# Each row: a line of SOUND, what replaces it, and the line (counted from
-# that one), section, key and value of the one fault that must come out.
+# Each row: a line of VALID, its replacement, and the line (relative to that
+# one), section, key and value of the only fault that must be found.
 FAULTS = [
     ("[policy]", "[policies]\n[policy]", 0, "policies", "", ""),
     ("[policy]", "[limits]\n[policy]", 0, "limits", "", ""),
@@ -176,16 +176,16 @@
     ids=[f"{row[3]}-{row[1][:20]!r}" for row in FAULTS],
 )
 def test_one_fault(old, new, offset, section, key, value):
-    lines = SOUND.split("\n")
-    place = lines.index(old)
-    lines[place] = new
+    lines = VALID.split("\n")
+    position = lines.index(old)
+    lines[position] = new
     (fault,) = find_faults("\n".join(lines))
     assert fault.section == section
     assert fault.file == "x.ini"
     assert fault.allowed
     assert key is None or fault.key == key
     assert value is None or fault.value == value
-    assert offset is None or fault.line == place + 1 + offset
+    assert offset is None or fault.line == position + 1 + offset
 
 
 def test_every_fault_at_once():
@@ -209,7 +209,7 @@
     ]
 
 
-def test_fault_reads_as_one_line():
+def test_fault_is_formatted_as_one_line():
     fault = Fault(
         file="a.ini",
         line=3,
@@ -230,7 +230,7 @@
     assert (fault.line, fault.key) == (2, "key_env")
 
 
-def test_one_key_for_two_organisations():
+def test_two_organisations_with_the_same_key_are_a_fault():
     text = "[organisation a]\nkey_env = A\n[organisation b]\nkey_env = B\n"
     (fault,) = find_faults(text, A="same", B="same")
     assert (fault.line, fault.section) == (4, "organisation b")
@@ -240,9 +240,10 @@
     "line", ["key_digest = s3cret", "key_env = s3cret", "s3cret", "api_key = s3cret"]
 )
 def test_secrets_stay_hidden(line):
-    """An operator pastes an API key where its digest or variable belongs.
+    """Guards against leaked API keys in terminals and CI logs.
 
-    The faults go to terminals and CI logs, so they must not repeat it.
+    An operator may paste a key where its digest or variable belongs, and
+    the fault must not repeat it.
     """
     result = parse_document(text=f"[organisation a]\n{line}\n")
     assert "s3cret" not in str(result)
--- a/test/load/test_arrivals.py
+++ b/test/load/test_arrivals.py
@@ -3,10 +3,10 @@
 import pytest
 
 from eelgrassrack.load.arrivals import Schedule, draw_arrivals
-from eelgrassrack.load.workload import Kind, Limits, Phase, Plan
+from eelgrassrack.load.workload import Limits, Phase, Plan, RequestKind
 
-STEADY = Kind(name="steady", organisation="a", key="k", requests_per_second=10)
-BURSTY = Kind(name="bursty", organisation="b", key="k", requests_per_second=10)
+STEADY = RequestKind(name="steady", organisation="a", key="k", requests_per_second=10)
+BURSTY = RequestKind(name="bursty", organisation="b", key="k", requests_per_second=10)
 PLAN = Plan(
     kinds=(STEADY, BURSTY),
     phases=(
--- a/test/load/test_plan.py
+++ b/test/load/test_plan.py
@@ -6,7 +6,7 @@
 
 from eelgrassrack.document.parser import parse_document
 from eelgrassrack.load.plan import parse_plan, shorten_plan
-from eelgrassrack.load.workload import Plan, Returns
+from eelgrassrack.load.workload import Plan, RetryPolicy
 
 EXAMPLES = pathlib.Path(__file__).parent.parent.parent / "examples"
 
@@ -35,7 +35,7 @@
 def test_a_plan_is_read():
     plan = parse_plan(text=PLAN, environment=ENVIRONMENT)
     score, lookup = plan.kinds
-    assert (score.key, score.returns) == ("from-outside", Returns.AT_ONCE)
+    assert (score.key, score.returns) == ("from-outside", RetryPolicy.AT_ONCE)
     assert (lookup.key, lookup.method, lookup.path) == ("a-key", "GET", "/records/1")
     burst = plan.phases[1]
     assert (burst.find_factor("score"), burst.find_factor("lookup")) == (3, 1)
