--- a/eelgrassrack/document/lines.py
+++ b/eelgrassrack/document/lines.py
@@ -162,7 +162,7 @@
 
 
 def _number_lines(sections: list[RawSection]) -> Iterator[str]:
-    """Yield the lines with numbers for section names and before keys."""
+    """Yield the lines with numbers as section names and before each key."""
     for number, section in enumerate(sections):
         yield f"[{number}]"
         keys = itertools.count()
--- a/eelgrassrack/load/__init__.py
+++ b/eelgrassrack/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load on deployed entries, judged by what callers receive."""
+"""Open-loop load generator for deployed entries, measured at the callers."""
--- a/eelgrassrack/load/arrivals.py
+++ b/eelgrassrack/load/arrivals.py
@@ -1,7 +1,7 @@
-"""When requests arrive: a Poisson process whose rate follows the phases.
+"""Arrival times of requests: a Poisson process whose rate follows the phases.
 
-Arrivals don't wait for answers.  A generator that did would slow down
-with the system under load and hide just the waits that callers have.
+Arrivals don't wait for answers (open loop).  A closed loop would slow down
+together with the system under load and hide the delays that callers see.
 """
 
 import bisect
@@ -15,14 +15,14 @@
 
 
 class Arrival(msgspec.Struct, kw_only=True, frozen=True):
-    """One request to be sent `at` seconds after the start."""
+    """One request, to be sent `at` seconds after the start of the run."""
 
     at: float
     kind: RequestKind
 
 
 class Schedule:
-    """The expected number of a kind's arrivals over time, and its inverse."""
+    """The expected number of arrivals of one kind over time, and its inverse."""
 
     __slots__ = ("_counts", "_rates", "_starts")
 
@@ -40,11 +40,14 @@
 
     @property
     def total(self) -> float:
-        """Return how many arrivals the whole run expects."""
+        """Return the expected number of arrivals in the whole run."""
         return self._counts[-1]
 
     def find_time(self, count: float) -> float | None:
-        """Return when so many arrivals are expected, or None if never."""
+        """Return the time in seconds by which `count` arrivals are expected.
+
+        None means that the run ends before.
+        """
         if count >= self.total:
             return None
         phase = bisect.bisect_right(self._counts, count) - 1
@@ -52,7 +55,7 @@
 
 
 def draw_arrivals(*, plan: Plan) -> list[Arrival]:
-    """Return the run's arrivals in order, at most as many as its limits allow."""
+    """Return the arrivals of a run by time, at most `most_requests` of them."""
     arrivals = [
         arrival
         for number, kind in enumerate(plan.kinds)
@@ -66,6 +69,10 @@
 
 
 def _draw_kind(plan: Plan, kind: RequestKind, rng: random.Random) -> Iterator[Arrival]:
+    """Draw the arrivals of one kind.
+
+    A Poisson process of rate 1 is mapped to the rates of the phases.
+    """
     schedule = Schedule(plan=plan, kind=kind)
     count = rng.expovariate(1.0)
     while (at := schedule.find_time(count)) is not None:
--- a/eelgrassrack/load/caller.py
+++ b/eelgrassrack/load/caller.py
@@ -1,4 +1,4 @@
-"""Callers: they send requests by curl and tell what each try came to."""
+"""Callers that send requests with curl and return the outcome of each try."""
 
 import itertools
 import secrets
@@ -15,13 +15,13 @@
 from .tally import Tally
 from .workload import RequestKind
 
-# An entry ends a request at its deadline.  A caller that hung up at the same
-# moment would mostly miss what the entry says of it.
+# An entry ends a request at its deadline.  A caller that closed the connection
+# at the same time would usually miss the entry's response.
 DEADLINE_MARGIN_SECONDS = 1.0
 
 
 class Call(msgspec.Struct, kw_only=True, frozen=True):
-    """One request; `due` and `ends_at` are by the monotonic clock."""
+    """One request; `due` and `ends_at` are seconds of the monotonic clock."""
 
     kind: RequestKind
     due: float
@@ -31,7 +31,7 @@
 
     @property
     def ends_at(self) -> float:
-        """Return when an answer is of no more use."""
+        """Return the deadline of the request."""
         return self.due + self.kind.deadline
 
 
@@ -52,7 +52,7 @@
 
 
 class Callers:
-    """All callers; they go round the entries, as a balancer would."""
+    """All callers; they use the entries in turn, like a load balancer."""
 
     def __init__(self, *, entries: list[str], most_at_once: int) -> None:
         self._client = make_client(max_clients=most_at_once)
@@ -63,7 +63,7 @@
         self._client.close()
 
     async def send(self, call: Call, *, tally: Tally) -> Outcome:
-        """Send a request once and return what came of it."""
+        """Send a request once and return its outcome."""
         reader = AnswerReader(kind=call.kind, due=call.due, tally=tally)
         request = build_request(call, entry=next(self._entries), now=time.monotonic())
         request.header_callback = reader.read_header
@@ -80,7 +80,7 @@
 
 
 def build_request(call: Call, *, entry: str, now: float) -> HTTPRequest:
-    """Return one try of a request as HTTP."""
+    """Return the HTTP request for one try, sent at `now`."""
     kind = call.kind
     remaining = max(0.001, call.ends_at - now)
     headers = {
@@ -112,7 +112,7 @@
 
 
 def build_body(kind: RequestKind, *, words: int, unique_id: str) -> bytes:
-    """Return a body of so many words, which the mark tells from others."""
+    """Return a body of `words` words; the unique id is the first of them."""
     text = " ".join([unique_id, *itertools.repeat("word", words - 1)])
     if not kind.model:
         return text.encode()
@@ -126,5 +126,5 @@
 
 
 def make_unique_id() -> str:
-    """Return a text that no other request has, also of another run."""
+    """Return an id that is unique across all requests and runs."""
     return secrets.token_hex(8)
--- a/eelgrassrack/load/outcomes.py
+++ b/eelgrassrack/load/outcomes.py
@@ -1,4 +1,4 @@
-"""What one try of a request came to, and whether its caller sends it again."""
+"""Outcomes of one try of a request, and when its caller retries."""
 
 import msgspec
 
@@ -10,38 +10,38 @@
 NO_RESPONSE = 599
 CLIENT_TIMEOUT = "no_answer"
 
-# A caller whose connection was refused goes to another entry after a moment,
-# as its balancer would send it.
+# A caller whose connection was refused tries another entry after a short
+# pause, as if a load balancer sent it there.
 UNREACHABLE_WAIT_SECONDS = 0.2
 REFUSAL_STATUSES = (429, 503)
 SERVER_ERROR = 500
 
 
 class Completed(msgspec.Struct, kw_only=True, frozen=True):
-    """A whole answer of a version."""
+    """A complete answer, and the version that gave it."""
 
     version: str = ""
 
 
 class Refused(msgspec.Struct, kw_only=True, frozen=True):
-    """Not run; `wait` is `Retry-After` in seconds, None if there was none."""
+    """Not run; `wait` is `Retry-After` in seconds, or None without one."""
 
     code: str
     wait: float | None = None
 
 
 class Unreachable(msgspec.Struct, kw_only=True, frozen=True):
-    """Never sent: no connection came about."""
+    """Not sent, because no connection could be made."""
 
 
 class AttemptFailed(msgspec.Struct, kw_only=True, frozen=True):
-    """Started, but the answer isn't whole."""
+    """Run, but without a complete answer."""
 
     code: str
 
 
 class OutcomeUnknown(msgspec.Struct, kw_only=True, frozen=True):
-    """Nobody can say whether it ran."""
+    """It isn't known whether the request ran."""
 
     code: str
 
@@ -50,7 +50,11 @@
 
 
 class Response(msgspec.Struct, kw_only=True, frozen=True):
-    """What came back: status, headers that matter and how the body ended."""
+    """The parts of a response that decide its outcome.
+
+    `code` is the error code of the body, if any.  `is_whole` tells whether
+    the answer is complete.
+    """
 
     status: int
     run: str = ""
@@ -61,11 +65,11 @@
 
 
 def classify_response(response: Response) -> Outcome:
-    """Return what a try came to.
+    """Return the outcome of a try.
 
-    Something other than an entry, such as the platform's balancer, may
-    answer without saying whether the request ran.  Only 429 and 503 are
-    then taken for refusals.
+    A response that isn't from an entry, for example from the platform's load
+    balancer, doesn't say whether the request ran.  Of those, only 429 and 503
+    count as refusals.
     """
     code = response.code or str(response.status)
     if response.is_whole:
@@ -81,7 +85,7 @@
 
 
 def read_retry_after(text: str) -> float | None:
-    """Return the seconds that a `Retry-After` header asks for."""
+    """Return the seconds in a `Retry-After` header, or None if it isn't valid."""
     try:
         seconds = float(text)
     except ValueError:
@@ -92,14 +96,14 @@
 def find_retry_delay(
     outcome: Outcome, *, kind: RequestKind, tries: int, remaining: float
 ) -> float | None:
-    """Return after how many seconds to send again, or None to give up.
+    """Return the pause in seconds before a retry, or None to give up.
 
-    `tries` is how often the request was sent and `remaining` the time to its
-    deadline.  Only what surely wasn't run is sent again.
+    `tries` is how often the request was sent, and `remaining` the seconds to
+    its deadline.  Only requests that certainly didn't run are retried.
     """
     match outcome, kind.returns:
         case Refused(wait=None), _:
-            # Without `Retry-After` it is no use to try again.
+            # Without `Retry-After` a retry would be refused again.
             return None
         case Unreachable(), RetryPolicy.WAIT:
             pause = UNREACHABLE_WAIT_SECONDS
--- a/eelgrassrack/load/plan.py
+++ b/eelgrassrack/load/plan.py
@@ -1,7 +1,7 @@
-"""Plans of load experiments as plain classes, and the reading of their text.
+"""Parser for the plans of load experiments.
 
-A plan is INI like the operators' document and read by the same tables, so
-that its faults name file, line, section, key, value and what is allowed.
+A plan is an INI file like the operators' document and uses the same kind of
+tables, so its faults name file, line, section, key, value and what is allowed.
 """
 
 import pathlib
@@ -22,7 +22,7 @@
 
 
 def read_plan(path: str, *, environment: Mapping[str, str]) -> Plan | Faults:
-    """Return the plan in a file, or every fault that it has."""
+    """Return the plan in a file, or all its faults."""
     text = read_text(pathlib.Path(path))
     return parse_plan(text=text, environment=environment, file=path)
 
@@ -30,14 +30,19 @@
 def parse_plan(
     *, text: str, environment: Mapping[str, str] = {}, file: str = "plan"
 ) -> Plan | Faults:
-    """Return the plan of a text, or every fault that it has.
+    """Return the plan in a text, or all its faults.
 
     `environment` holds the API keys that kinds refer to by `key_env`.
+    `file` is the name that faults give the text.
     """
     scan = scan_text(text, file=file)
     parsed_sections, faults = read_sections(scan.sections, PLAN, file=file)
     by_kind = {
-        kind.kind: [r for n, r in parsed_sections.items() if n.kind == kind.kind]
+        kind.kind: [
+            section
+            for name, section in parsed_sections.items()
+            if name.kind == kind.kind
+        ]
         for kind in PLAN
     }
     faults += scan.faults
@@ -64,7 +69,7 @@
 
 
 def _check_target(parsed: ParsedSection, file: str) -> Iterator[Fault]:
-    """Find faults in where a kind of request goes."""
+    """Check that a kind names either a model or a service, with its keys only."""
     given = parsed.pairs.keys() & {"model", "service"}
     if len(given) != 1:
         allowed = "exactly one of model and service"
@@ -81,7 +86,7 @@
 
 
 def _check_phase(parsed: ParsedSection, names: set[str], file: str) -> Iterator[Fault]:
-    """Find names of kinds that the plan doesn't have."""
+    """Check that the plan has all kinds that a phase names."""
     unknown = [name for name in parsed.values.get("kinds", ()) if name not in names]
     if unknown:
         known = ", ".join(sorted(names)) or "none"
@@ -110,7 +115,7 @@
 
 
 def shorten_plan(plan: Plan, *, seconds: float) -> Plan:
-    """Return the plan with its phases cut off after so many seconds."""
+    """Return the plan with its phases cut off after `seconds`."""
     phases = []
     remaining = seconds
     for phase in plan.phases:
--- a/eelgrassrack/load/plot.py
+++ b/eelgrassrack/load/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a run, drawn by matplotlib where it is installed."""
+"""Plot of a run; needs matplotlib, an optional dependency."""
 
 import importlib.util
 import pathlib
@@ -12,7 +12,10 @@
 
 
 def check_plot(path: str) -> None:
-    """Raise a `UserError` if no picture can be drawn, before a run is spent."""
+    """Raise a `UserError` if no plot can be drawn.
+
+    Called before the run, so that its results aren't lost.
+    """
     if importlib.util.find_spec("matplotlib") is None:
         raise UserError("--plot needs matplotlib: install eelgrassrack[plots]")
     if not pathlib.Path(path).resolve().parent.is_dir():
@@ -20,7 +23,7 @@
 
 
 def draw_report(report: Report, path: str) -> None:
-    """Draw requests by second of arrival, and times by kind."""
+    """Plot requests by second of arrival, and answer times by kind, to a file."""
     import matplotlib as mpl
 
     mpl.use("Agg")
--- a/eelgrassrack/load/reader.py
+++ b/eelgrassrack/load/reader.py
@@ -1,4 +1,4 @@
-"""The reading of an answer as it comes: its tokens' times and its end."""
+"""Incremental reader of an answer that times tokens and checks completeness."""
 
 import time
 
@@ -15,51 +15,55 @@
 CUT = "cut"
 OK = 200
 
-# What a service says of a request is its answer, unless it failed.
+# A service's own client errors count as its answers, and only server errors
+# as failures.
 SERVICE_ANSWER_STATUSES = range(200, 500)
 
 
 class Message(msgspec.Struct, frozen=True):
-    """The message of a plain answer."""
+    """The message of an answer that isn't streamed."""
 
     content: str | None = None
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """One choice of a plain answer."""
+    """One choice of an answer that isn't streamed."""
 
     message: Message
     finish_reason: str | None = None
 
 
 class PlainAnswer(msgspec.Struct, frozen=True):
-    """A plain answer to a chat."""
+    """A chat answer that isn't streamed."""
 
     choices: list[Choice]
 
 
 class ErrorDetails(msgspec.Struct, frozen=True):
-    """What went wrong, as an error body says it."""
+    """The error in an error body."""
 
     code: str | None = None
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """An error body."""
+    """The body of an error response."""
 
     error: ErrorDetails
 
 
 class AnswerReader:
-    """One answer; `due` is when its request arrived, by the monotonic clock."""
+    """Reader of one answer.
+
+    `due` is the arrival time of its request, in seconds of the monotonic clock.
+    """
 
     __slots__ = (
         "_body",
         "_due",
         "_headers",
+        "_is_streamed",
         "_kind",
         "_last_token_at",
-        "_is_streamed",
         "_tally",
         "status",
     )
@@ -75,7 +79,7 @@
         self.status = 0
 
     def read_header(self, line: str) -> None:
-        """Take one line of a response's head; the last response counts."""
+        """Read one header line; a new status line starts the headers again."""
         if line.startswith("HTTP/"):
             self.status = int(line.split(None, 2)[1])
             self._headers.clear()
@@ -84,11 +88,12 @@
         self._headers[name.strip().lower()] = value.strip()
 
     def read(self, data: bytes) -> None:
-        """Take a part of the body.
+        """Read a part of the body.
 
-        Tokens that come in one read count as one: the caller gets them
-        together, and a gap of nothing between them would flatter.  Of a
-        stream only the end is kept, for it says whether it is whole.
+        Tokens that arrive in one read count as one: the caller gets them
+        together, and gaps of zero between them would make the figures look
+        too good.  Only the end of a stream is kept, since it shows whether
+        the answer is complete.
         """
         if not self._is_streamed or self.status != OK:
             self._body += data
@@ -104,10 +109,11 @@
         self._last_token_at = now
 
     def build_response(self, *, is_cut: bool) -> Response:
-        """Return what came, once its connection is done with it.
+        """Return the response after its transfer has ended.
 
-        Without a status nothing came.  With one, an answer that was cut
-        off is broken rather than unknown: its caller saw it begin.
+        `is_cut` says that the transfer failed.  Without a status line there
+        was no response.  With one, the code `cut` makes it a failed attempt
+        and not an unknown outcome, since the caller saw the answer begin.
         """
         get_header = self._headers.get
         run = get_header("eelgrassrack-run", "")
@@ -122,7 +128,7 @@
         )
 
     def _is_whole(self, run: str) -> bool:
-        """Tell whether an answer that wasn't cut off is whole."""
+        """Return whether an answer that wasn't cut off is complete."""
         if self._kind.service:
             return self.status in SERVICE_ANSWER_STATUSES and run in ("", RAN)
         if self.status != OK:
@@ -136,7 +142,7 @@
         return bool(answer.choices) and answer.choices[0].finish_reason is not None
 
     def _find_code(self) -> str:
-        """Return the code of an error body or of a stream's last event."""
+        """Return the error code of the body or the last event, or an empty text."""
         body = (
             self._body.rpartition(EVENT_PREFIX)[2] if self._is_streamed else self._body
         )
--- a/eelgrassrack/load/report.py
+++ b/eelgrassrack/load/report.py
@@ -1,4 +1,4 @@
-"""What a run reports: rows for each organisation and kind, and by second."""
+"""Report of a run: by organisation and kind, and by second."""
 
 from collections.abc import Mapping
 
@@ -10,13 +10,13 @@
 
 MICROSECONDS_PER_MILLISECOND = 1_000
 
-# Above this the loop of the tool itself delays what it measures.
+# Above these the load generator's own event loop delays what it measures.
 MAX_CPU_SHARE = 0.7
 MAX_LAG_MS = 20.0
 
 
 class Times(msgspec.Struct, kw_only=True, frozen=True):
-    """How often something was timed, and its times in milliseconds."""
+    """Number of measured times, and their percentiles in milliseconds."""
 
     count: int
     p50: float | None = None
@@ -26,10 +26,13 @@
 
 
 class Row(msgspec.Struct, kw_only=True, frozen=True):
-    """What callers of one organisation and kind received.
+    """The results of one organisation and kind.
 
-    Requests add up: `requests` is the sum of `in_time` to `not_sent`.
-    `tries` and `refusals` count each time that a request was sent.
+    Each request has one result, so `requests` is the sum of the fields from
+    `in_time` to `not_sent`.  `tries` and `refusals` count each try of a
+    request.  `wait` is what refusals asked for by `Retry-After`.  `first`,
+    `gaps` and `whole` are the times to the first token, between tokens and to
+    the whole answer.
     """
 
     organisation: str
@@ -53,7 +56,7 @@
 
 
 class Second(msgspec.Struct, kw_only=True, frozen=True):
-    """What came of the requests that arrived in one second of the run."""
+    """The results of the requests that arrived in one second of the run."""
 
     at: int
     in_time: int
@@ -65,9 +68,9 @@
 
 
 class Totals(msgspec.Struct, kw_only=True, frozen=True):
-    """The run itself: its length and what the tool spent.
+    """Totals of the run and the load generator's own use of resources.
 
-    `cpu_share` is the part of one core that the tool used.
+    `cpu_share` is the part of one core that the load generator used.
     """
 
     arrivals: int
@@ -77,7 +80,10 @@
 
 
 class Report(msgspec.Struct, kw_only=True, frozen=True):
-    """A whole run; `lag` is how late requests were sent after they were due."""
+    """The report of a run.
+
+    `lag` is the time from a request's planned arrival to its sending.
+    """
 
     totals: Totals
     lag: Times
@@ -86,12 +92,12 @@
 
     @property
     def is_answered(self) -> bool:
-        """Tell whether anything answered at all."""
+        """Return whether any entry responded."""
         return any(row.responses for row in self.rows)
 
     @property
     def is_tool_busy(self) -> bool:
-        """Tell whether the tool may have delayed what it measured."""
+        """Return whether the load generator may have delayed what it measured."""
         late = (self.lag.p99 or 0.0) > MAX_LAG_MS
         return late or self.totals.cpu_share > MAX_CPU_SHARE
 
@@ -149,5 +155,5 @@
 
 
 def _name_results(counts: Mapping[RequestResult, int]) -> dict[str, int]:
-    """Return the counts by the names of the fields that hold them."""
+    """Return the counts by the field names of `Row` and `Second`."""
     return {result.name.lower(): counts.get(result, 0) for result in RequestResult}
--- a/eelgrassrack/load/runner.py
+++ b/eelgrassrack/load/runner.py
@@ -1,4 +1,4 @@
-"""One run of a load plan, bounded in requests, time and concurrency."""
+"""Execution of a load plan, bounded in requests, time and concurrency."""
 
 import asyncio
 import random
@@ -19,13 +19,13 @@
 from .tally import RequestResult, Tally, add_seconds, make_histogram
 from .workload import Plan, RequestKind
 
-# Slack for the loop to notice that the last requests have ended.
+# Time for the event loop to notice that the last requests have ended.
 LAST_ANSWERS_SLACK_SECONDS = 5.0
 UNREACHABLE = "unreachable"
 
 
 async def run_plan(plan: Plan, *, entries: list[str]) -> Report:
-    """Run a plan against entries and return what callers received."""
+    """Run a plan against entries and return the report."""
     run = Run(plan=plan, entries=entries)
     try:
         return await run.run()
@@ -34,7 +34,7 @@
 
 
 class Run:
-    """A run: its callers, and what each organisation and kind received."""
+    """One run of a plan: its callers and tallies."""
 
     def __init__(self, *, plan: Plan, entries: list[str]) -> None:
         self._plan = plan
@@ -53,7 +53,7 @@
         self._callers.close()
 
     async def run(self) -> Report:
-        """Send everything, wait for the answers and report."""
+        """Send all requests, wait for their answers and return the report."""
         arrivals = draw_arrivals(plan=self._plan)
         began, cpu_began = time.monotonic(), time.process_time()
         for arrival in arrivals:
@@ -77,7 +77,7 @@
         )
 
     def _start_request(self, arrival: Arrival, *, due: float) -> None:
-        """Start a request, unless too many are under way already."""
+        """Start a request, or count it as not sent at the concurrency limit."""
         kind = arrival.kind
         second = int(arrival.at)
         add_seconds(self._lag, time.monotonic() - due)
@@ -92,22 +92,22 @@
         self._most_at_once = max(self._most_at_once, len(self._tasks))
 
     def _end_request(self, task: asyncio.Task[None]) -> None:
-        """Forget a request, and keep a fault of the tool itself.
+        """Remove a finished request and keep an exception of the load generator.
 
-        Such a fault must end the run: counted as one of the entries', it
-        would make their figures worse than they are.
+        Such an exception is a bug here and must end the run: counted as a
+        failure of the entries, it would make their results look worse.
         """
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._tool_error = task.exception()
 
     def _raise_tool_error(self) -> None:
-        """Raise a fault of the tool itself."""
+        """Raise an exception of the load generator itself, if there was one."""
         if self._tool_error is not None:
             raise self._tool_error
 
     async def _wait_for_answers(self) -> None:
-        """Wait for the last answers; each ends by itself at its deadline."""
+        """Wait for the last answers; each request ends by its own deadline."""
         longest = max(kind.deadline for kind in self._plan.kinds)
         wait = longest + DEADLINE_MARGIN_SECONDS + LAST_ANSWERS_SLACK_SECONDS
         if self._tasks:
@@ -116,14 +116,14 @@
         self._raise_tool_error()
 
     async def _cancel_requests(self) -> None:
-        """End what is still under way; its requests count as unknown."""
+        """Cancel the requests that are still in flight; they count as unknown."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _send_until_done(self, call: Call, second: int) -> None:
-        """Send a request until it is answered or its caller gives up."""
+        """Send a request, with retries, until it is answered or given up."""
         tally = self._tallies[call.kind.name]
         tries = 0
         result = RequestResult.UNKNOWN
@@ -152,7 +152,7 @@
         counts[result] += 1
 
     def _make_call(self, kind: RequestKind, due: float) -> Call:
-        """Draw a request's session and prompt."""
+        """Return a request with a randomly drawn session and prompt size."""
         words = int(self._rng.choice(kind.prompt_words))
         number = self._rng.randrange(kind.sessions)
         in_session = self._rng.random() < kind.session_share
@@ -169,7 +169,7 @@
 def record_outcome(
     outcome: Outcome, *, call: Call, tally: Tally, now: float
 ) -> RequestResult:
-    """Record what a try came to and return what that makes of the request."""
+    """Record the outcome of a try and return its result for the request."""
     match outcome:
         case Completed(version=version):
             tally.versions[version] += 1
--- a/eelgrassrack/load/tables.py
+++ b/eelgrassrack/load/tables.py
@@ -1,4 +1,4 @@
-"""The table of sections and keys that a load plan may hold."""
+"""The table of sections and keys of a load plan."""
 
 from ..document.checks import Choice, Flag, Items, Number, Text
 from ..document.schema import Key, SectionKind
--- a/eelgrassrack/load/tally.py
+++ b/eelgrassrack/load/tally.py
@@ -1,4 +1,4 @@
-"""What the callers of one organisation and kind received."""
+"""Counts and histograms of one organisation and kind."""
 
 import collections
 import enum
@@ -10,18 +10,18 @@
 
 
 def make_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds, up to an hour."""
+    """Return an empty histogram of microseconds, up to one hour."""
     return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
 def add_seconds(histogram: HdrHistogram, seconds: float) -> None:
-    """Record a time."""
+    """Add a time to a histogram, clamped to its range."""
     value = int(seconds * MICROSECONDS_PER_SECOND)
     histogram.record_value(min(max(value, LOWEST_US), HIGHEST_US))
 
 
 class RequestResult(enum.Enum):
-    """What a request came to in the end, with all its tries."""
+    """The final result of a request after all its tries."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -34,8 +34,8 @@
 class Tally:
     """Counts and times of one organisation and kind.
 
-    First tokens and whole answers count from the request's arrival, with
-    all its tries and waits, as its caller sees them.
+    Times to the first token and to the whole answer start at the arrival of
+    the request and include all its tries and waits, as its caller sees them.
     """
 
     __slots__ = (
@@ -74,7 +74,7 @@
         add_seconds(self.gaps, seconds)
 
     def add_refusal(self, wait: float | None) -> None:
-        """Record a refused try and how long it asked its caller to wait."""
+        """Record a refused try and its `Retry-After` in seconds, if it had one."""
         self.refusals += 1
         if wait is not None:
             add_seconds(self.waits, wait)
--- a/eelgrassrack/load/workload.py
+++ b/eelgrassrack/load/workload.py
@@ -1,4 +1,4 @@
-"""The parts of a load plan as plain classes."""
+"""Classes that hold the parts of a load plan."""
 
 import enum
 
@@ -8,8 +8,8 @@
 class RetryPolicy(enum.Enum):
     """What callers do after a refusal.
 
-    `wait` obeys `Retry-After`, `at-once` sends again without a pause, as
-    a badly written client does, and `never` gives up.
+    `wait` obeys `Retry-After`, `at-once` retries without a pause, as a badly
+    written client does, and `never` gives up.
     """
 
     WAIT = "wait"
@@ -20,10 +20,11 @@
 class RequestKind(msgspec.Struct, kw_only=True, frozen=True):
     """One kind of request that an organisation sends.
 
-    `deadline` is in seconds from the request's arrival.  `session_share`
+    `deadline` is in seconds from the arrival of a request.  `session_share`
     is the part of the requests (0 to 1) that belong to one of `sessions`
-    sessions.  `prompt_words` holds sizes that are drawn evenly.  With
-    `once` each request carries an idempotency key.
+    sessions.  `prompt_words` holds prompt sizes, drawn with equal
+    probability.  With `once` each request carries an idempotency key.
+    `returns` is what its callers do after a refusal.
     """
 
     name: str
@@ -46,10 +47,10 @@
 
 
 class Phase(msgspec.Struct, kw_only=True, frozen=True):
-    """A stretch of the run in which rates are multiplied by `factor`.
+    """A part of the run during which rates are multiplied by `factor`.
 
-    With `kinds` the factor holds for these only, and the others keep
-    their own rates.
+    With `kinds` the factor applies only to these, and the others keep their
+    own rates.
     """
 
     name: str
@@ -58,12 +59,12 @@
     kinds: tuple[str, ...] = ()
 
     def find_factor(self, kind: str) -> float:
-        """Return what a kind's rate is multiplied by."""
+        """Return the factor that applies to the rate of a kind."""
         return self.factor if not self.kinds or kind in self.kinds else 1.0
 
 
 class Limits(msgspec.Struct, kw_only=True, frozen=True):
-    """Bounds of the whole run, and the seed of what is drawn."""
+    """Limits of the whole run, and the seed of its random draws."""
 
     most_requests: int = 20_000
     most_at_once: int = 1_000
@@ -71,7 +72,7 @@
 
 
 class Plan(msgspec.Struct, kw_only=True, frozen=True):
-    """A load experiment: what is sent, when, and its bounds."""
+    """A load experiment: kinds of requests, phases and limits."""
 
     kinds: tuple[RequestKind, ...]
     phases: tuple[Phase, ...]
@@ -79,5 +80,5 @@
 
     @property
     def seconds(self) -> float:
-        """Return how long requests arrive."""
+        """Return the length of the run up to its last arrivals, in seconds."""
         return sum(phase.seconds for phase in self.phases)
--- a/test/load/test_arrivals.py
+++ b/test/load/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Tests of when requests arrive."""
+"""Tests of the arrival times of requests."""
 
 import pytest
 
@@ -42,8 +42,8 @@
     times = [arrival.at for arrival in arrivals]
     assert times == sorted(times)
     assert not any(30 <= at < 35 for at in times)
-    burst = [one for one in arrivals if 20 <= one.at < 30]
-    bursty = sum(one.kind is BURSTY for one in burst)
+    burst = [request for request in arrivals if 20 <= request.at < 30]
+    bursty = sum(request.kind is BURSTY for request in burst)
     # Six standard deviations of a Poisson count of 800 and of 100.
     assert abs(bursty - 800) < 170
     assert abs(len(burst) - bursty - 100) < 60
--- a/test/load/test_command.py
+++ b/test/load/test_command.py
@@ -1,4 +1,4 @@
-"""Tests of the command `load` as a process's own arguments reach it."""
+"""Tests of the command `load`, called with command-line arguments."""
 
 import json
 import socket
@@ -31,9 +31,10 @@
 
 
 def test_no_entry_answers(tmp_path, capsys):
-    """All entries are down, as after a wrong URL.
+    """Guards against a report that hides a wrong URL.
 
-    The operator must not take a table of refusals for a result.
+    With all entries down the table shows only refusals, so the exit code
+    must tell the operator that it isn't a result.
     """
     path = write_plan(tmp_path, PLAN)
     with socket.socket() as closed:
--- a/test/load/test_outcomes.py
+++ b/test/load/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Tests of what a try came to and of when its caller returns."""
+"""Tests of the outcomes of tries and of the pauses before retries."""
 
 import pytest
 
@@ -41,7 +41,7 @@
         (Response(status=503, run="unknown"), OutcomeUnknown(code="503")),
     ],
 )
-def test_a_response_is_judged(response, outcome):
+def test_a_response_is_classified(response, outcome):
     assert classify_response(response) == outcome
 
 
@@ -69,7 +69,7 @@
         (OutcomeUnknown(code="504"), RetryPolicy.AT_ONCE, 1, 5.0, None),
     ],
 )
-def test_only_what_surely_was_not_run_is_sent_again(
+def test_only_requests_that_did_not_run_are_retried(
     outcome, returns, tries, remaining, pause
 ):
     kind = make_kind(returns)
--- a/test/load/test_pages.py
+++ b/test/load/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the operators' page tells every key of a load plan."""
+"""Tests that the operators' page lists every key of a load plan."""
 
 import pathlib
 
--- a/test/load/test_plan.py
+++ b/test/load/test_plan.py
@@ -1,4 +1,4 @@
-"""Tests of load plans: what is read and how faults are told."""
+"""Tests of the parser for load plans and of its faults."""
 
 import pathlib
 
@@ -111,7 +111,7 @@
         ),
     ],
 )
-def test_a_fault_is_told_with_its_place(old, new, fault):
+def test_a_fault_names_its_position(old, new, fault):
     text = PLAN.replace(old, new, 1)
     assert text != PLAN
     result = parse_plan(text=text, environment=ENVIRONMENT, file="p")
@@ -126,10 +126,9 @@
 
 @pytest.mark.parametrize("user", ["keelwater", "cimq"])
 def test_the_examples_fit_their_documents(user):
-    """A plan may ask for what its document doesn't give.
+    """Guards against example plans that use what their document lacks.
 
-    Every request would then be refused, and the operator would take that
-    for the system's fault.
+    Every request would be refused, and the operator would blame the system.
     """
     plan = parse_plan(text=(EXAMPLES / f"load-{user}.ini").read_text())
     assert isinstance(plan, Plan), str(plan)
--- a/test/load/test_runner.py
+++ b/test/load/test_runner.py
@@ -1,4 +1,4 @@
-"""A short run of a plan against a small whole system."""
+"""Tests of short runs against a small but complete system."""
 
 import asyncio
 
@@ -102,9 +102,9 @@
     assert list(effects.values()) == [1] * rows["issue"].requests
     limited = rows["limited"]
     assert limited.codes == {"rate": limited.refusals}
-    # One for each entry's burst; the next is let in minutes later.
+    # Each entry admits a burst of one; the next token comes 100 s later.
     assert 0 < limited.in_time <= 2
-    # Told to wait longer than their deadline, they don't return.
+    # `Retry-After` exceeds their deadline, so they don't retry.
     assert limited.wait.p50 > 30_000
     assert limited.tries == limited.requests
     stranger = rows["stranger"]
@@ -116,9 +116,10 @@
 
 
 def test_arrivals_beyond_the_limit_are_not_sent():
-    """The tool itself may run out of connections.
+    """Guards against requests that wait in the load generator itself.
 
-    If it queued requests then, its own waits would pass for the entries'.
+    At its connection limit it must not queue them: the time in its queue
+    would be measured as a delay of the entries.
     """
     text = f"{PLAN}[limits]\nmost_at_once = 1\nmost_requests = 30\n"
     report, _ = asyncio.run(run_system(text))
