--- a/eelgrassrack/ui/__init__.py
+++ b/eelgrassrack/ui/__init__.py
@@ -1,4 +1,4 @@
-"""The command line; `EXIT_CODES` says what its exit codes mean."""
+"""The command line of eelgrassrack; `EXIT_CODES` describes its exit codes."""
 
 import sys
 from collections.abc import Sequence
@@ -40,7 +40,7 @@
 )
 @dataclass(kw_only=True, slots=True)
 class Eelgrassrack:
-    """The program and its commands."""
+    """The program, with one subcommand for each action."""
 
     command: cappa.Subcommands[
         Check
@@ -65,8 +65,8 @@
 def main(argv: Sequence[str] | None = None, *, tools: Tools | None = None) -> int:
     """Run one command and return its exit code.
 
-    `argv` are the process's own arguments and `tools` the real ones
-    unless given.
+    `argv` defaults to the arguments of the process and `tools` to the real
+    ones; tests pass their own.
     """
     deps = {make_tools: cappa.Dep(lambda: tools)} if tools else {}
     try:
--- a/eelgrassrack/ui/changes.py
+++ b/eelgrassrack/ui/changes.py
@@ -1,4 +1,4 @@
-"""Changes to the stored document, as the operator's commands make them."""
+"""Changes of the stored document, shared by the operator's commands."""
 
 from collections.abc import Iterable
 
@@ -20,7 +20,7 @@
 
 
 class Change(msgspec.Struct, kw_only=True, frozen=True):
-    """A document change that was made."""
+    """A change of the document: its new revision and the sections concerned."""
 
     revision: int
     team: str
@@ -46,10 +46,10 @@
     patterns: Iterable[str],
     proposed: str,
 ) -> Change:
-    """Apply a proposed text; raise a `UserError` if it isn't taken.
+    """Apply a proposed text; raise a `UserError` if it isn't accepted.
 
-    After a lost answer the change may have been made all the same, and
-    the error says so.
+    If the platform's answer is lost, the change may have been made, and the
+    error says so.
     """
     patterns = tuple(patterns)
     result = await head.apply(
@@ -61,7 +61,7 @@
 async def set_keys(
     *, head: DocumentHead, tools: Tools, team: str, changes: tuple[KeyChange, ...]
 ) -> Change:
-    """Set single keys and leave the rest as it stands."""
+    """Set single keys and leave the rest of the document unchanged."""
     result = await head.set_keys(
         team=team, changes=changes, who=tools.who, now=tools.now()
     )
@@ -72,7 +72,7 @@
 async def set_state(
     *, head: DocumentHead, tools: Tools, team: str, section: SectionName, state: str
 ) -> Change:
-    """Set the `state` of one section and leave the rest as it stands."""
+    """Set the `state` of one section and leave the rest unchanged."""
     change = KeyChange(section=section, key="state", value=state)
     return await set_keys(head=head, tools=tools, team=team, changes=(change,))
 
@@ -96,7 +96,7 @@
 
 
 def print_change(change: Change, *, as_json: bool) -> None:
-    """Say which revision a change made."""
+    """Print the revision that a change made, and its sections."""
     if as_json:
         print_json(change)
         return
--- a/eelgrassrack/ui/commands/agent.py
+++ b/eelgrassrack/ui/commands/agent.py
@@ -9,12 +9,12 @@
 from ...settings import read_agent_settings
 
 
-@cappa.command(name="agent", help="Run an agent daemon beside an endpoint.")
+@cappa.command(name="agent", help="Run an agent daemon next to an endpoint.")
 @dataclass(kw_only=True, slots=True)
 class Agent:
     """Arguments of `agent`."""
 
-    settings: Annotated[str, cappa.Arg(help="Its settings.")]
+    settings: Annotated[str, cappa.Arg(help="The settings file.")]
 
     def __call__(self) -> int:
         """Run until stopped."""
--- a/eelgrassrack/ui/commands/apply.py
+++ b/eelgrassrack/ui/commands/apply.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack apply`: put a team's own sections into force."""
+"""`eelgrassrack apply`: put a team's own sections in force."""
 
 import asyncio
 import pathlib
@@ -24,7 +24,7 @@
 
 
 class InForce(msgspec.Struct, kw_only=True, frozen=True):
-    """How many daemons were seen to have a revision in force, of how many."""
+    """Numbers of daemons with a revision in force, and of all daemons seen."""
 
     entries: int
     all_entries: int
@@ -33,7 +33,7 @@
 
     @property
     def is_everywhere(self) -> bool:
-        """Tell whether every daemon that was asked or seen has it."""
+        """Return whether all these daemons have the revision in force."""
         return self.entries == self.all_entries and self.agents == self.all_agents
 
 
@@ -44,7 +44,7 @@
     in_force: InForce | None = None
 
 
-@cappa.command(name="apply", help="Put a team's sections of a document into force.")
+@cappa.command(name="apply", help="Put a team's sections of a document in force.")
 @dataclass(kw_only=True, slots=True)
 class Apply:
     """Arguments of `apply`."""
@@ -79,7 +79,7 @@
         return asyncio.run(self.run(tools))
 
     async def run(self, tools: Tools) -> int:
-        """Apply the sections and wait if asked to."""
+        """Apply the sections; with `--wait`, wait until they are in force."""
         proposed = self._read_proposed(tools)
         with tools.connect(self.objects) as store:
             head = DocumentHead(store=store)
@@ -101,10 +101,11 @@
         return OK if in_force is None or in_force.is_everywhere else UNAVAILABLE
 
     def _read_proposed(self, tools: Tools) -> str:
-        """Return the file's text; raise on faults of the file's own sections.
+        """Return the file's text; raise a `RefusedError` if it has faults.
 
-        These are told by the file's lines.  What doesn't fit the other
-        teams' sections is found when the document is put together.
+        Only the selected sections are checked here, so that faults name lines
+        of the file.  References to other teams' sections are checked when the
+        document is merged.
         """
         text = resolve_api_keys(
             text=read_text(pathlib.Path(self.file)),
@@ -117,7 +118,7 @@
         return text
 
     async def _wait_for(self, revision: int, tools: Tools) -> InForce:
-        """Ask the entries until all have the revision or time is up."""
+        """Poll the entries until all have the revision or the wait ends."""
         end = tools.clock() + self.wait
         while True:
             statuses = await fetch_statuses(tools=tools, urls=self.entries)
@@ -130,24 +131,24 @@
 def count_in_force(statuses: tuple[object, ...], revision: int) -> InForce:
     """Count the daemons that have a revision, or a newer one, in force.
 
-    An agent is as new as the newest report that any entry has of it.
+    Of an agent that several entries report, the newest revision counts.
     """
     entries = [status for status in statuses if isinstance(status, EntryStatus)]
     agents: dict[str, int] = {}
     for endpoint in (endpoint for entry in entries for endpoint in entry.endpoints):
         if endpoint.revision is not None:
-            known = agents.get(endpoint.name, 0)
-            agents[endpoint.name] = max(known, endpoint.revision)
+            newest = agents.get(endpoint.name, 0)
+            agents[endpoint.name] = max(newest, endpoint.revision)
     return InForce(
         entries=sum(entry.revision >= revision for entry in entries),
         all_entries=len(statuses),
-        agents=sum(known >= revision for known in agents.values()),
+        agents=sum(newest >= revision for newest in agents.values()),
         all_agents=len(agents),
     )
 
 
 def print_in_force(in_force: InForce | None) -> None:
-    """Say how many daemons have the change in force."""
+    """Print how many daemons have the change in force."""
     if in_force is None:
         return
     print(
--- a/eelgrassrack/ui/commands/audit.py
+++ b/eelgrassrack/ui/commands/audit.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack audit`: print who changed what and when."""
+"""`eelgrassrack audit`: print the audit trail of document changes."""
 
 import asyncio
 import datetime
@@ -25,12 +25,12 @@
 
     objects: ObjectsUrl
     limit: Annotated[
-        int, cappa.Arg(long="--limit", help="How many of the newest changes.")
+        int, cappa.Arg(long="--limit", help="Number of changes to print, newest first.")
     ] = DEFAULT_LIMIT
     as_json: AsJson = False
 
     def __call__(self, tools: Annotated[Tools, cappa.Dep(make_tools)]) -> int:
-        """Read the trail and print it."""
+        """Read the audit trail and print it."""
         trail = asyncio.run(self.read(tools))
         if self.as_json:
             print_json(trail)
--- a/eelgrassrack/ui/commands/bills.py
+++ b/eelgrassrack/ui/commands/bills.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack bills`: print what each organisation is billed."""
+"""`eelgrassrack bills`: print the sums of each organisation's bills."""
 
 import asyncio
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 MILLIONTHS_PER_UNIT = 1_000_000
 
 
-@cappa.command(name="bills", help="Print the bills' sums by organisation.")
+@cappa.command(name="bills", help="Print the sums of bills by organisation.")
 @dataclass(kw_only=True, slots=True)
 class Bills:
     """Arguments of `bills`."""
@@ -26,7 +26,10 @@
     as_json: AsJson = False
 
     def __call__(self, tools: Annotated[Tools, cappa.Dep(make_tools)]) -> int:
-        """Add up the ledgers and print the sums; fail on a doubled bill."""
+        """Add up the ledgers and print the sums.
+
+        The exit code reports a bill counted twice or a missing ledger.
+        """
         totals = asyncio.run(self.read(tools))
         if self.as_json:
             print_json(totals)
@@ -35,7 +38,7 @@
         return REFUSED if totals.doubled or not totals.complete else OK
 
     async def read(self, tools: Tools) -> BillTotals:
-        """Return all organisations' sums."""
+        """Return the sums of all organisations."""
         with tools.connect(self.objects) as store:
             found = await read_totals(store=store, invariants=Invariants(strict=False))
         match found:
@@ -46,7 +49,7 @@
 
 
 def print_totals(totals: BillTotals) -> None:
-    """Print a table of the sums, and what is wrong with them."""
+    """Print a table of the sums, then doubled bills and missing ledgers."""
     print_table(
         ("organisation", "requests", "attempts", "prompt", "completion", "money"),
         [
--- a/eelgrassrack/ui/commands/check.py
+++ b/eelgrassrack/ui/commands/check.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack check`: report every fault of a document."""
+"""`eelgrassrack check`: report all faults of a document."""
 
 import pathlib
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 from ..tools import Tools, make_tools
 
 
-@cappa.command(name="check", help="Report every fault of a document, one line each.")
+@cappa.command(name="check", help="Report all faults of a document, one on each line.")
 @dataclass(kw_only=True, slots=True)
 class Check:
     """Arguments of `check`."""
--- a/eelgrassrack/ui/commands/demo.py
+++ b/eelgrassrack/ui/commands/demo.py
@@ -11,7 +11,7 @@
     """Arguments of `demo`."""
 
     def __call__(self) -> int:
-        """Run the demo; it fails if a promise broke."""
+        """Run the demo; the exit code reports a broken invariant."""
         from ...demo import run
 
         return run()
--- a/eelgrassrack/ui/commands/domain.py
+++ b/eelgrassrack/ui/commands/domain.py
@@ -31,10 +31,11 @@
         return OK
 
     async def run(self, tools: Tools) -> Change:
-        """Change the state of a domain that the document has.
+        """Change the state of an existing domain.
 
-        A mistyped name would make a new section, and the operator would
-        take a domain for out of service that still gets work.
+        An unknown name is refused: a mistyped one would add a new section,
+        and the operator would believe that a domain is out of service while
+        it still gets work.
         """
         with tools.connect(self.objects) as store:
             head = DocumentHead(store=store)
--- a/eelgrassrack/ui/commands/drain.py
+++ b/eelgrassrack/ui/commands/drain.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack drain`: give an endpoint no new work."""
+"""`eelgrassrack drain`: stop giving new work to an endpoint."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 from ..tools import Tools, make_tools
 
 
-@cappa.command(name="drain", help="Give an endpoint no new work.")
+@cappa.command(name="drain", help="Stop giving new work to an endpoint.")
 @dataclass(kw_only=True, slots=True)
 class Drain:
     """Arguments of `drain`."""
--- a/eelgrassrack/ui/commands/entry.py
+++ b/eelgrassrack/ui/commands/entry.py
@@ -14,7 +14,7 @@
 class Entry:
     """Arguments of `entry`."""
 
-    settings: Annotated[str, cappa.Arg(help="Its settings.")]
+    settings: Annotated[str, cappa.Arg(help="The settings file.")]
 
     def __call__(self) -> int:
         """Run until stopped."""
--- a/eelgrassrack/ui/commands/gateway.py
+++ b/eelgrassrack/ui/commands/gateway.py
@@ -11,7 +11,7 @@
 class Gateway:
     """Arguments of `gateway`."""
 
-    settings: Annotated[str, cappa.Arg(help="Its settings.")]
+    settings: Annotated[str, cappa.Arg(help="The settings file.")]
 
     def __call__(self) -> int:
         """Run until stopped."""
--- a/eelgrassrack/ui/commands/load.py
+++ b/eelgrassrack/ui/commands/load.py
@@ -20,24 +20,24 @@
 NO_VALUE = "-"
 
 
-@cappa.command(name="load", help="Run a load experiment; print what callers got.")
+@cappa.command(name="load", help="Run a load experiment and print its results.")
 @dataclass(kw_only=True, slots=True)
 class Load:
     """Arguments of `load`."""
 
-    plan: Annotated[str, cappa.Arg(help="The plan, in INI.")]
+    plan: Annotated[str, cappa.Arg(help="The plan, an INI file.")]
     entries: RequiredEntryUrls
     seconds: Annotated[
         float | None,
-        cappa.Arg(long=True, help="End the arrivals after so many seconds."),
+        cappa.Arg(long=True, help="Stop sending requests after this many seconds."),
     ] = None
     plot: Annotated[
-        str, cappa.Arg(long=True, value_name="FILE", help="Draw a picture.")
+        str, cappa.Arg(long=True, value_name="FILE", help="Write a plot to this file.")
     ] = ""
     as_json: AsJson = False
 
     def __call__(self, tools: Annotated[Tools, cappa.Dep(make_tools)]) -> int:
-        """Run the plan; fail if it has faults or nothing answered."""
+        """Run the plan; the exit code reports faults or that no entry answered."""
         plan = read_plan(self.plan, environment=tools.environment)
         if isinstance(plan, Faults):
             print(plan)
@@ -59,7 +59,7 @@
 
 
 def print_report(report: Report) -> None:
-    """Print tables of counts and times, and what the tool spent."""
+    """Print tables of counts and times, and the tool's own use of resources."""
     print_table(
         ("organisation", "kind", "requests", "in time", "late", "refused")
         + ("broken", "unknown", "not sent", "tries", "refusals", "why"),
@@ -110,7 +110,7 @@
 
 
 def _format_times(times: Times, *, unit: float = 1.0) -> str:
-    """Return percentiles, divided by a unit in milliseconds."""
+    """Return percentiles as text, in units of `unit` milliseconds."""
     if not times.count:
         return NO_VALUE
     values = (times.p50, times.p95, times.p99)
--- a/eelgrassrack/ui/commands/losses.py
+++ b/eelgrassrack/ui/commands/losses.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack losses`: why requests were late or lost, by gateways' logs."""
+"""`eelgrassrack losses`: show why requests were late or lost."""
 
 import pathlib
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 @cappa.command(
-    name="losses", help="Show why requests were late or lost, by gateways' logs."
+    name="losses", help="Show from gateways' logs why requests were late or lost."
 )
 @dataclass(kw_only=True, slots=True)
 class LossesCommand:
@@ -24,12 +24,12 @@
 
     files: Annotated[list[str], cappa.Arg(help="Logs of one or more gateways.")]
     each: Annotated[
-        bool, cappa.Arg(long=True, help="Show each request, not the causes' counts.")
+        bool, cappa.Arg(long=True, help="Show each request instead of counts by cause.")
     ] = False
     as_json: AsJson = False
 
     def __call__(self) -> int:
-        """Read the logs and print the causes."""
+        """Read the logs and print the losses, or their counts by cause."""
         lines, unread = read_files(pathlib.Path(file) for file in self.files)
         losses = find_losses(lines)
         counts = count_causes(losses)
@@ -37,16 +37,18 @@
             print_json(losses if self.each else counts)
             return OK
         if self.each:
-            for one in losses:
-                kind = "lost" if one.is_lost else "late"
-                tried = ",".join(one.endpoints) or "none"
-                print(f"{one.time:.3f} {one.request} {kind} {one.cause.value}: {tried}")
+            for loss in losses:
+                kind = "lost" if loss.is_lost else "late"
+                tried = ",".join(loss.endpoints) or "none"
+                print(
+                    f"{loss.time:.3f} {loss.request} {kind} {loss.cause.value}: {tried}"
+                )
         else:
             print_table(
                 HEADINGS,
                 [
-                    (one.cause.value, one.lost, one.late, one.mean_seconds, one.busiest)
-                    for one in counts
+                    (row.cause.value, row.lost, row.late, row.mean_seconds, row.busiest)
+                    for row in counts
                 ],
             )
         if unread:
--- a/eelgrassrack/ui/commands/status.py
+++ b/eelgrassrack/ui/commands/status.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack status`: print what entries know of endpoints and versions."""
+"""`eelgrassrack status`: print the entries' view of endpoints and versions."""
 
 import asyncio
 from collections.abc import Iterator
@@ -32,7 +32,7 @@
     as_json: AsJson = False
 
     def __call__(self, tools: Annotated[Tools, cappa.Dep(make_tools)]) -> int:
-        """Ask the entries and print what they know."""
+        """Request the status of the entries and print it."""
         answers = asyncio.run(fetch_statuses(tools=tools, urls=self.entries))
         output = StatusOutput(
             entries=tuple(item for item in answers if isinstance(item, EntryStatus)),
@@ -87,11 +87,11 @@
 
 
 def merge_endpoints(output: StatusOutput) -> list[EndpointStatus]:
-    """Return each endpoint once, by the freshest report that an entry has."""
+    """Return each endpoint once, from the entry with the newest report of it."""
     freshest: dict[str, EndpointStatus] = {}
     for endpoint in (item for entry in output.entries for item in entry.endpoints):
-        known = freshest.get(endpoint.name)
-        if known is None or endpoint.age < known.age:
+        other = freshest.get(endpoint.name)
+        if other is None or endpoint.age < other.age:
             freshest[endpoint.name] = endpoint
     return [freshest[name] for name in sorted(freshest)]
 
@@ -120,7 +120,7 @@
 
 
 def _find_states(endpoint: EndpointStatus) -> Iterator[str]:
-    """Return what keeps an endpoint from its full work."""
+    """Yield the states in which an endpoint can't take its full load."""
     if not endpoint.engine_up:
         yield "down"
     if endpoint.cold:
--- a/eelgrassrack/ui/commands/trace.py
+++ b/eelgrassrack/ui/commands/trace.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack trace`: what gateways' logs say of one request."""
+"""`eelgrassrack trace`: print what gateways logged about one request."""
 
 import pathlib
 from dataclasses import dataclass
@@ -13,7 +13,8 @@
 
 
 @cappa.command(
-    name="trace", help="Show what gateways' logs say of a request and beside it."
+    name="trace",
+    help="Show the lines of gateways' logs about a request, and others around it.",
 )
 @dataclass(kw_only=True, slots=True)
 class TraceCommand:
@@ -35,7 +36,7 @@
 
 
 def _print(trace: Trace) -> None:
-    """Print one line each, a request's own ones with a mark."""
+    """Print the lines, with an asterisk before the request's own ones."""
     if not trace.own:
         print(f"{trace.request}: not in these logs")
     for line in trace.list_all():
--- a/eelgrassrack/ui/commands/withdraw.py
+++ b/eelgrassrack/ui/commands/withdraw.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack withdraw`: give a version no new work."""
+"""`eelgrassrack withdraw`: stop giving new work to a version."""
 
 import asyncio
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 MAX_WEIGHT = 100.0
 
 
-@cappa.command(name="withdraw", help="Give a version no new work.")
+@cappa.command(name="withdraw", help="Stop giving new work to a version.")
 @dataclass(kw_only=True, slots=True)
 class Withdraw:
     """Arguments of `withdraw`."""
@@ -32,7 +32,7 @@
         cappa.Arg(
             long="--to",
             value_name="MODEL/LABEL",
-            help="Version of the same model that takes its share over.",
+            help="Version of the same model that takes over its share.",
         ),
     ] = None
     undo: Annotated[bool, cappa.Arg(long="--undo", help="Give it new work again.")] = (
@@ -46,10 +46,11 @@
         return OK
 
     async def run(self, tools: Tools) -> Change:
-        """Change the state of a version that the document has.
+        """Change the state of an existing version.
 
-        With an heir both change in one revision: were the last version
-        with a weight withdrawn first, the document would be refused.
+        With a successor both versions change in one revision.  Withdrawing
+        the last version with a weight first would be refused, because a model
+        needs an active version of weight above 0.
         """
         with tools.connect(self.objects) as store:
             head = DocumentHead(store=store)
@@ -62,7 +63,7 @@
             )
 
     def _propose(self, versions: dict[str, Version]) -> Iterator[KeyChange]:
-        """Return the keys to change."""
+        """Yield the keys to change."""
         state = VersionState.ACTIVE if self.undo else VersionState.WITHDRAWN
         section = SectionName("version", self.version)
         yield KeyChange(section=section, key="state", value=state.value)
@@ -70,10 +71,11 @@
             return
         weight = versions[self.version].weight + versions[self.heir].weight
         value = f"{min(weight, MAX_WEIGHT):.12g}"
-        heir = SectionName("version", self.heir)
-        yield KeyChange(section=heir, key="weight", value=value)
+        successor = SectionName("version", self.heir)
+        yield KeyChange(section=successor, key="weight", value=value)
 
     def _check_versions(self, versions: dict[str, Version]) -> None:
+        """Raise a `RefusedError` if a version doesn't exist or `--to` is invalid."""
         for name in filter(None, (self.version, self.heir)):
             if name not in versions:
                 known = ", ".join(sorted(versions)) or "none"
--- a/eelgrassrack/ui/errors.py
+++ b/eelgrassrack/ui/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line and the codes that its commands end with."""
+"""Errors and exit codes of the commands."""
 
 from ..errors import UserError
 
--- a/eelgrassrack/ui/options.py
+++ b/eelgrassrack/ui/options.py
@@ -7,7 +7,7 @@
 OBJECTS_VARIABLE = "EELGRASSRACK_OBJECTS"
 
 AsJson = Annotated[
-    bool, cappa.Arg(long="--json", help="Print JSON in place of a table.")
+    bool, cappa.Arg(long="--json", help="Print JSON instead of a table.")
 ]
 ObjectsUrl = Annotated[
     str,
--- a/eelgrassrack/ui/statuses.py
+++ b/eelgrassrack/ui/statuses.py
@@ -1,4 +1,4 @@
-"""The asking of many entries for their status at once."""
+"""Concurrent requests for the status of several entries."""
 
 import asyncio
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class StatusFailure(msgspec.Struct, kw_only=True, frozen=True):
-    """An entry that gave no usable answer."""
+    """An entry that didn't answer with a readable status, and the reason."""
 
     url: str
     reason: str
@@ -20,7 +20,7 @@
 async def fetch_statuses(
     *, tools: Tools, urls: Iterable[str]
 ) -> tuple[EntryStatus | StatusFailure, ...]:
-    """Ask all entries at once."""
+    """Request the status of all entries at once; the results keep their order."""
     statuses = await asyncio.gather(*(_fetch_status(tools, url) for url in urls))
     return tuple(statuses)
 
--- a/eelgrassrack/ui/tools.py
+++ b/eelgrassrack/ui/tools.py
@@ -1,4 +1,4 @@
-"""What commands need from outside; tests hand in their own."""
+"""External dependencies of the commands, which tests replace."""
 
 import asyncio
 import getpass
@@ -18,16 +18,20 @@
 
 FETCH_TIMEOUT_SECONDS = 5.0
 
-# A daemon's budget is for a steady state.  A command lives for a moment and
-# reads each section of the document once: with a daemon's budget it would
-# fail on a document of a hundred sections.  The platform takes about two
-# thousand reads a second.
+# A daemon's call budget is meant for its steady state.  A command runs only
+# briefly and reads each section of the document once, so with a daemon's
+# budget it would fail on a document of a hundred sections.  The platform
+# handles about two thousand reads a second.
 CALLS_PER_SECOND = 200.0
 BURST_CALLS = 1_000.0
 
 
 class Tools(msgspec.Struct, kw_only=True, frozen=True):
-    """Everything that a command reaches outside of its arguments."""
+    """The dependencies of a command: store, HTTP, clocks and environment.
+
+    `now` is Unix time and `clock` monotonic time, both in seconds.  `who` is
+    the user's name for the audit trail.
+    """
 
     connect: Callable[[str], AbstractContextManager[ObjectStore]]
     fetch: Callable[[str], Awaitable[bytes]]
@@ -39,7 +43,7 @@
 
 
 def make_tools() -> Tools:
-    """Return the tools of a real command."""
+    """Return the tools that commands use outside of tests."""
     return Tools(
         connect=connect_store,
         fetch=fetch_body,
@@ -53,7 +57,7 @@
 
 @contextmanager
 def connect_store(url: str) -> Iterator[ObjectStore]:
-    """Return the platform's object API at a URL while in use."""
+    """Open the platform's object API at a URL, and close it at exit."""
     store = HttpObjectStore(
         url=url.rstrip("/"),
         caller="operator",
@@ -66,7 +70,7 @@
 
 
 async def fetch_body(url: str) -> bytes:
-    """Return the body of a `GET`; raise `UnavailableError` if there is none."""
+    """Return the body of a `GET`; raise `UnavailableError` if it fails."""
     client = make_client(max_clients=1)
     try:
         response = await client.fetch(url, request_timeout=FETCH_TIMEOUT_SECONDS)
--- a/test/document/test_builder.py
+++ b/test/document/test_builder.py
@@ -23,7 +23,7 @@
         assert built == parse_document(text=document, revision=revision)
 
 
-def test_a_removed_section_is_not_kept():
+def test_a_removed_section_is_gone():
     """Guards against a removed section that is still served from the cache.
 
     Its organisation could go on sending requests.
@@ -37,7 +37,7 @@
     assert removed.name not in builder.build(texts=rest, revision=2).organisations
 
 
-def test_no_snapshot_is_built_from_an_invalid_section():
+def test_a_faulty_section_builds_nothing():
     assert (
         SnapshotBuilder().build(texts=["[version x]\nstate = odd\n"], revision=1)
         is None
--- a/test/document/test_edits.py
+++ b/test/document/test_edits.py
@@ -86,7 +86,7 @@
 """
 
 
-def test_an_outdated_copy_of_another_section_is_ignored():
+def test_a_stale_copy_of_another_section_is_left_out():
     proposed = CURRENT.replace("attempts = 3", "attempts = 1").replace("10", "20")
     edit = replace_sections(
         current=CURRENT,
@@ -97,7 +97,7 @@
     assert edit == Edit(text=CURRENT.replace("10", "20"), changed=("version a/2",))
 
 
-def test_missing_sections_are_removed_and_new_ones_added():
+def test_a_section_that_is_gone_is_removed_and_a_new_one_added():
     edit = replace_sections(
         current=CURRENT,
         proposed="[version a/2]\nweight = 10\n[version a/3]\n",
--- a/test/document/test_parser.py
+++ b/test/document/test_parser.py
@@ -209,7 +209,7 @@
     ]
 
 
-def test_fault_is_formatted_as_one_line():
+def test_fault_reads_as_one_line():
     fault = Fault(
         file="a.ini",
         line=3,
@@ -230,7 +230,7 @@
     assert (fault.line, fault.key) == (2, "key_env")
 
 
-def test_two_organisations_with_the_same_key_are_a_fault():
+def test_one_key_for_two_organisations():
     text = "[organisation a]\nkey_env = A\n[organisation b]\nkey_env = B\n"
     (fault,) = find_faults(text, A="same", B="same")
     assert (fault.line, fault.section) == (4, "organisation b")
--- a/test/ui/test_commands.py
+++ b/test/ui/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the commands as operators type them, with their exit codes."""
+"""Tests of the commands and their exit codes, with a fake platform."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class Fakes:
-    """A platform and entries in memory, and a clock that sleeping moves."""
+    """An in-memory platform and entries, and a clock that `sleep` advances."""
 
     def __init__(self):
         self.table = ObjectTable(clock=time.monotonic)
@@ -35,13 +35,13 @@
         self.on_sleep = lambda: None
 
     async def fetch(self, url):
-        """Answer as an entry does."""
+        """Return the status of an entry, or fail if it has none."""
         if url not in self.statuses:
             raise UnavailableError(f"{url}: refused")
         return msgspec.json.encode(self.statuses[url])
 
     async def sleep(self, seconds):
-        """Move the clock."""
+        """Advance the clock."""
         self.time += seconds
         self.on_sleep()
 
@@ -152,17 +152,17 @@
     assert fakes.read().revision == 1
 
 
-def test_apply_names_faults_by_the_files_lines(fakes, edited, capsys):
+def test_apply_reports_faults_by_line_of_the_file(fakes, edited, capsys):
     path = edited("weight = 20\n", "weight = some\n")
     assert fakes.apply(path, "version *", team="assessment") == REFUSED
     number = path.read_text().split("\n").index("weight = some") + 1
     assert f"{path}:{number}: [version assess/2026-10]" in capsys.readouterr().err
 
 
-def test_apply_refuses_what_no_longer_fits(fakes, edited, capsys):
-    """A team removes a version that another team's pool still serves.
+def test_apply_refuses_a_broken_reference(fakes, edited, capsys):
+    """Guards against documents whose sections are valid only by themselves.
 
-    Each section is sound alone; only together they aren't.
+    A team removes a version that another team's pool still serves.
     """
     path = edited("[version study-small/2026-05]", "[version study-small/2026-06]")
     assert fakes.apply(path, "version study-*", team="study") == REFUSED
@@ -219,10 +219,10 @@
     assert next(later, None) is None
 
 
-def test_apply_says_when_it_is_not_in_force_in_time(fakes, edited, capsys):
-    """An agent is cut off from its entries and keeps the old revision.
+def test_apply_reports_daemons_without_the_change_after_the_wait(fakes, edited, capsys):
+    """Guards against an operator who believes a change to be in force everywhere.
 
-    The operator must not take the change for being in force there.
+    An agent that is cut off from its entries keeps the old revision.
     """
     fakes.statuses["http://n1/status"] = make_status(2, 1)
     path = edited("latency = 3", "latency = 4")
@@ -261,18 +261,18 @@
 
 
 def test_withdraw_hands_the_share_over(fakes, edited, capsys):
-    """The only version with a weight turns bad.
+    """Guards against a refused withdrawal when the operator is in a hurry.
 
-    Withdrawn alone it would leave its model without any weight, and the
-    document would be refused just when the operator is in a hurry.
+    The bad version is the only one of its model with a weight.  Withdrawn
+    alone it would leave none, and the document would be refused.
     """
     path = edited("weight = 20\n", "weight = 0\n")
     assert fakes.apply(path, "version *", team="assessment") == OK
-    bad = ("withdraw", "assess/2026-07", "--as", "assessment", *OBJECTS)
-    assert fakes.run(*bad) == REFUSED
+    withdraw = ("withdraw", "assess/2026-07", "--as", "assessment", *OBJECTS)
+    assert fakes.run(*withdraw) == REFUSED
     assert "above 0" in capsys.readouterr().err
-    assert fakes.run(*bad, "--to", "study-small/2026-05") == REFUSED
-    assert fakes.run(*bad, "--to", "assess/2026-10") == OK
+    assert fakes.run(*withdraw, "--to", "study-small/2026-05") == REFUSED
+    assert fakes.run(*withdraw, "--to", "assess/2026-10") == OK
     snapshot = fakes.read().snapshot
     assert not snapshot.is_active(version="assess/2026-07")
     assert snapshot.versions["assess/2026-10"].weight == 80
@@ -355,9 +355,9 @@
     ],
 )
 def test_platform_down(fakes, argv, capsys):
-    """The object API has an outage while an operator works.
+    """Guards against scripts that mistake an outage for a refusal.
 
-    The command says so, with a code that scripts can tell from a refusal.
+    With the object API down, the command says so and has its own exit code.
     """
     fakes.table.outage = True
     assert fakes.run(*argv, *OBJECTS) == UNAVAILABLE
--- a/test/ui/test_platform.py
+++ b/test/ui/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of commands over HTTP, against the stand-in object API."""
+"""Tests of commands over HTTP with the stand-in object API."""
 
 import asyncio
 import contextlib
@@ -19,9 +19,9 @@
 
 @contextlib.contextmanager
 def run_platform(table):
-    """Serve the table from a thread with a loop of its own.
+    """Serve the table from a thread with its own event loop.
 
-    Commands run a loop themselves, as they do in an operator's shell.
+    The commands under test run their own loop in the main thread.
     """
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever)
@@ -66,9 +66,10 @@
 
 
 def test_lost_answer(table, monkeypatch, capsys):
-    """The update takes effect, but the platform's answer is lost.
+    """Guards against a failure reported for an update that took effect.
 
-    The operator must see the one revision that was made, not a failure.
+    The platform's answer to the update is lost.  The operator must see the
+    one revision that was made.
     """
     with run_platform(table) as url:
         monkeypatch.setenv("EELGRASSRACK_OBJECTS", url)
--- a/test/ui/test_tools.py
+++ b/test/ui/test_tools.py
@@ -1,4 +1,4 @@
-"""Tests of the real tools, against a server on the loopback."""
+"""Tests of the real tools with a server on the loopback interface."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class StatusHandler(web.RequestHandler):
-    """Answer with a body or a failure."""
+    """Answers `/status` with a body and other paths with a failure."""
 
     def get(self, path):
         self.set_status(200 if path == "status" else 503)
@@ -34,12 +34,12 @@
     assert asyncio.run(fetch_from_server("status")) == b"body"
 
 
-def test_failure_becomes_one_error():
+def test_http_errors_raise_unavailable_error():
     with pytest.raises(UnavailableError, match="503"):
         asyncio.run(fetch_from_server("other"))
 
 
-def test_nobody_listens():
+def test_a_refused_connection_raises_unavailable_error():
     sock, port = bind_unused_port()
     sock.close()
     with pytest.raises(UnavailableError, match=str(port)):
