--- a/eelgrassrack/document/crosschecks.py
+++ b/eelgrassrack/document/crosschecks.py
@@ -147,12 +147,12 @@
     """Check that each pool has versions or one existing service, not both."""
     services = sections.list_names("service")
     for _, parsed in sections.list_sections("pool"):
-        given = [
+        present_keys = [
             key
             for key in ("serves", "service")
             if key in parsed.pairs and parsed.pairs[key].value
         ]
-        if len(given) != 1:
+        if len(present_keys) != 1:
             key = "service" if "service" in parsed.pairs else "serves"
             yield sections.build_fault(parsed, key, "exactly one of serves and service")
         service = parsed.values.get("service")
--- a/eelgrassrack/document/edits.py
+++ b/eelgrassrack/document/edits.py
@@ -41,21 +41,21 @@
     joined, so that nothing is lost before the parser reports the duplicate.
     """
     lines = _split_lines(text)
-    starts = [number for number, line in enumerate(lines) if find_header(line)]
-    names = [find_header(lines[start]) for start in starts]
-    tops = [_find_first_line(lines, start) for start in starts]
-    ends = [*tops, len(lines)][1:]
+    headers = [number for number, line in enumerate(lines) if find_header(line)]
+    names = [find_header(lines[header]) for header in headers]
+    first_lines = [_find_first_line(lines, header) for header in headers]
+    ends = [*first_lines, len(lines)][1:]
     sections: dict[SectionName, str] = {}
-    preamble = "".join(lines[: tops[0]] if tops else lines)
+    preamble = "".join(lines[: first_lines[0]] if first_lines else lines)
     if preamble:
         sections[PREAMBLE] = preamble
-    for name, top, end in zip(names, tops, ends, strict=True):
-        sections[name] = sections.get(name, "") + "".join(lines[top:end])
+    for name, first, end in zip(names, first_lines, ends, strict=True):
+        sections[name] = sections.get(name, "") + "".join(lines[first:end])
     return sections
 
 
 def join_sections(sections: Mapping[SectionName, str]) -> str:
-    """Join section texts into a document, each section starting a new line."""
+    """Join section texts into a document, each starting on a new line."""
     texts = [text for text in sections.values() if text]
     ended = [text if text.endswith("\n") else text + "\n" for text in texts[:-1]]
     return "".join([*ended, *texts[-1:]])
@@ -108,14 +108,14 @@
     """
     sections = split_sections(text)
     lines = sections.get(section, f"\n[{section}]\n").split("\n")
-    top = next(number for number, line in enumerate(lines) if find_header(line))
+    header = next(number for number, line in enumerate(lines) if find_header(line))
     pairs = scan_text("\n".join(lines), file="").sections[0].pairs
-    found = [pair.line - 1 for pair in pairs if pair.key == key]
-    for number in reversed(found):
+    matches = [pair.line - 1 for pair in pairs if pair.key == key]
+    for number in reversed(matches):
         rest = itertools.dropwhile(_is_continuation, lines[number + 1 :])
         lines[number:] = [f"{key} = {value}", *rest]
-    if not found:
-        lines.insert(top + 1, f"{key} = {value}")
+    if not matches:
+        lines.insert(header + 1, f"{key} = {value}")
     sections[section] = "\n".join(lines)
     return join_sections(sections)
 
@@ -182,15 +182,15 @@
     return bool(line.strip()) and line[0].isspace() and not is_comment(line)
 
 
-def _find_first_line(lines: list[str], start: int) -> int:
+def _find_first_line(lines: list[str], header: int) -> int:
     """Return the index of a section's first line.
 
     That is the first of the comments directly above its header, if any.
     """
-    top = start
-    while top and is_comment(lines[top - 1]):
-        top -= 1
-    return top
+    first = header
+    while first and is_comment(lines[first - 1]):
+        first -= 1
+    return first
 
 
 def _split_lines(text: str) -> list[str]:
--- a/eelgrassrack/document/schema.py
+++ b/eelgrassrack/document/schema.py
@@ -1,7 +1,7 @@
 """Classes that describe the sections and keys of an INI file.
 
-The parser, the daemons' settings and the page docs/CONFIGURATION.md use the
-same tables of them, so that they can't disagree.
+The parser, the daemons' settings and the page docs/CONFIGURATION.md all use
+tables built from these classes, so that they can't disagree.
 """
 
 import enum
--- a/eelgrassrack/load/outcomes.py
+++ b/eelgrassrack/load/outcomes.py
@@ -52,8 +52,8 @@
 class Response(msgspec.Struct, kw_only=True, frozen=True):
     """The parts of a response that decide its outcome.
 
-    `code` is the error code of the body, if any.  `is_whole` tells whether
-    the answer is complete.
+    `run` is the header that says whether the request ran, `code` the error
+    code of the body, if any.  `is_whole` means that the answer is complete.
     """
 
     status: int
--- a/test/load/test_arrivals.py
+++ b/test/load/test_arrivals.py
@@ -33,8 +33,8 @@
     ],
 )
 def test_the_schedule_follows_the_phases(kind, count, at):
-    found = Schedule(plan=PLAN, kind=kind).find_time(count)
-    assert found == (at if at is None else pytest.approx(at))
+    time = Schedule(plan=PLAN, kind=kind).find_time(count)
+    assert time == (at if at is None else pytest.approx(at))
 
 
 def test_arrivals_follow_the_phases():
