--- a/test/document/test_edits.py
+++ b/test/document/test_edits.py
@@ -1,4 +1,4 @@
-"""Tests of edits: nothing is lost, and a team changes only what is its own."""
+"""Tests of edits: no text is lost, and a team changes only its own sections."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/test/document/test_facts.py
+++ b/test/document/test_facts.py
@@ -1,4 +1,4 @@
-"""Tests of what an agent is told of the document."""
+"""Tests of the facts about the document that agents receive."""
 
 from eelgrassrack.document.facts import build_facts
 from eelgrassrack.document.parser import parse_document
--- a/test/load/test_arrivals.py
+++ b/test/load/test_arrivals.py
@@ -1,12 +1,12 @@
-"""Tests of when requests arrive."""
+"""Tests of the arrival times of requests."""
 
 import pytest
 
 from eelgrassrack.load.arrivals import Schedule, draw_arrivals
-from eelgrassrack.load.workload import Kind, Limits, Phase, Plan
+from eelgrassrack.load.workload import Limits, Phase, Plan, RequestKind
 
-STEADY = Kind(name="steady", organisation="a", key="k", requests_per_second=10)
-BURSTY = Kind(name="bursty", organisation="b", key="k", requests_per_second=10)
+STEADY = RequestKind(name="steady", organisation="a", key="k", requests_per_second=10)
+BURSTY = RequestKind(name="bursty", organisation="b", key="k", requests_per_second=10)
 PLAN = Plan(
     kinds=(STEADY, BURSTY),
     phases=(
@@ -33,8 +33,8 @@
     ],
 )
 def test_the_schedule_follows_the_phases(kind, count, at):
-    found = Schedule(plan=PLAN, kind=kind).find_time(count)
-    assert found == (at if at is None else pytest.approx(at))
+    time = Schedule(plan=PLAN, kind=kind).find_time(count)
+    assert time == (at if at is None else pytest.approx(at))
 
 
 def test_arrivals_follow_the_phases():
@@ -42,8 +42,8 @@
     times = [arrival.at for arrival in arrivals]
     assert times == sorted(times)
     assert not any(30 <= at < 35 for at in times)
-    burst = [one for one in arrivals if 20 <= one.at < 30]
-    bursty = sum(one.kind is BURSTY for one in burst)
+    burst = [request for request in arrivals if 20 <= request.at < 30]
+    bursty = sum(request.kind is BURSTY for request in burst)
     # Six standard deviations of a Poisson count of 800 and of 100.
     assert abs(bursty - 800) < 170
     assert abs(len(burst) - bursty - 100) < 60
