--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -275,7 +275,7 @@
         """Raise `SupervisorError` once a part has failed too often."""
         await self._supervisor.wait_failed()
 
-    def hurry(self) -> None:
+    def skip_grace_period(self) -> None:
         """Finish a stop in progress without further waiting."""
         self._hurry.set()
 
--- a/eelgrassrack/entry/callerhandler.py
+++ b/eelgrassrack/entry/callerhandler.py
@@ -173,7 +173,7 @@
         # Tornado closes a connection on which only part of a request was read.  If
         # the rest of the request then arrives, the kernel resets the connection and
         # the caller loses the response.
-        self.core.lingering.follow(self.stream)
+        self.core.lingering.linger_after_close(self.stream)
         self._send_error(error)
 
     def _send_error(self, error: CallerError) -> None:
--- a/eelgrassrack/entry/entry.py
+++ b/eelgrassrack/entry/entry.py
@@ -13,7 +13,7 @@
 from ..document.snapshot import Snapshot
 from ..incarnations import make_incarnation
 from ..invariants import Invariants, Promise
-from ..lingering import NOT_READ
+from ..lingering import REQUEST_TIMEOUT_ANSWER
 from ..listening import stop_listening
 from ..mailbox.messages import AnyMessage, Bill, MessageBatch
 from ..mailbox.socket import Mailbox
@@ -252,7 +252,7 @@
                 # A connection that isn't reading has received the headers of a request
                 # that no handler has seen yet.
                 if stream.reading() and stream not in busy:
-                    self.core.lingering.dismiss(stream, NOT_READ)
+                    self.core.lingering.half_close(stream, REQUEST_TIMEOUT_ANSWER)
             await asyncio.sleep(0)
         await self.core.lingering.wait_closed(self._loop.time() + AFTER_GRACE_SECONDS)
 
@@ -276,7 +276,7 @@
         """Wait until a task has failed too often, then raise `SupervisorError`."""
         await self._supervisor.wait_failed()
 
-    def hurry(self) -> None:
+    def skip_grace_period(self) -> None:
         """Skip the rest of the grace period of a stop."""
         self._hurry.set()
         self._set_end(self._loop.time())
--- a/eelgrassrack/gateway/ingress.py
+++ b/eelgrassrack/gateway/ingress.py
@@ -17,7 +17,7 @@
 )
 from tornado.iostream import IOStream
 
-from ..lingering import NOT_READ, Lingering
+from ..lingering import REQUEST_TIMEOUT_ANSWER, LingeringConnections
 from .configuration import Limits
 from .connection import enable_keepalive
 from .errors import CallerGoneError
@@ -133,7 +133,7 @@
         self._loop = asyncio.get_running_loop()
         self._seen_connections: weakref.WeakSet[object] = weakref.WeakSet()
         self._idle: dict[HTTPConnection, IdlePeriod] = {}
-        self._lingering = Lingering()
+        self._lingering = LingeringConnections()
         self._reading: set[_Message] = set()
         self._serving: set[asyncio.Task] = set()
 
@@ -194,11 +194,11 @@
                 self._end_connection(connection)
 
     def _end_connection(
-        self, connection: HTTPConnection, answer: bytes = NOT_READ
+        self, connection: HTTPConnection, answer: bytes = REQUEST_TIMEOUT_ANSWER
     ) -> None:
         """Send a last response and close; requests that arrive later do not run."""
         self._mark_active(connection)
-        self._lingering.dismiss(connection.stream, answer)
+        self._lingering.half_close(connection.stream, answer)
         connection.close()
 
     async def wait_answered(self, until: float) -> None:
