--- a/bench/fuzz/faults.py
+++ b/bench/fuzz/faults.py
@@ -47,7 +47,7 @@
         self._tasks: set[asyncio.Task] = set()
         self._timers: list[asyncio.TimerHandle] = []
         for engine in rig.engines.values():
-            engine.poison_text = POISON
+            engine.crash_text = POISON
             engine.on_crash = self._note_crash
 
     async def wait(self) -> None:
--- a/bench/gatewaysoak/play.py
+++ b/bench/gatewaysoak/play.py
@@ -137,7 +137,7 @@
             await self._stop()
             watching.cancel()
         engines = self._engines.values()
-        broken = dict(pair for one in engines for pair in one.broken.items())
+        broken = dict(pair for one in engines for pair in one.broken_at.items())
         answers = Answers(
             told=callers.told,
             gates=self._gates,
--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -271,7 +271,7 @@
         """Wait until a part has failed too often; raise `SupervisorError`."""
         await self._supervisor.wait_failed()
 
-    def hurry(self) -> None:
+    def skip_grace_period(self) -> None:
         """End a stop that is under way at once."""
         self._hurry.set()
 
--- a/eelgrassrack/entry/callerhandler.py
+++ b/eelgrassrack/entry/callerhandler.py
@@ -162,7 +162,7 @@
         self.set_header("Connection", "close")
         # The library closes connections on which half a request has been read:
         # what still comes would reset the answer away.
-        self.core.lingering.follow(self.stream)
+        self.core.lingering.linger_after_close(self.stream)
         self._send_error(error)
 
     def _send_error(self, error: CallerError) -> None:
--- a/eelgrassrack/entry/core.py
+++ b/eelgrassrack/entry/core.py
@@ -9,7 +9,7 @@
 from ..decisions.rollout import Health, PlannedVersion, RolloutHealth, Verdict
 from ..document.snapshot import Snapshot
 from ..invariants import Invariants
-from ..lingering import Lingering
+from ..lingering import LingeringConnections
 from ..statuses import EndpointStatus, EntryStatus, VersionStatus
 from .billing import Billing
 from .chat import ChatFlow
@@ -85,7 +85,7 @@
         self.invariants = invariants
         self.is_closing = False
         self.is_draining = False
-        self.lingering = Lingering()
+        self.lingering = LingeringConnections()
         self.open: set[Caller] = set()
         self.services = services
         self._detached: set[asyncio.Future] = set()
--- a/eelgrassrack/entry/entry.py
+++ b/eelgrassrack/entry/entry.py
@@ -13,7 +13,7 @@
 from ..document.snapshot import Snapshot
 from ..incarnations import make_incarnation
 from ..invariants import Invariants, Promise
-from ..lingering import NOT_READ
+from ..lingering import REQUEST_TIMEOUT_ANSWER
 from ..listening import stop_listening
 from ..mailbox.messages import AnyMessage, Bill, Parcel
 from ..mailbox.socket import Mailbox
@@ -246,7 +246,7 @@
                 stream = connection.stream
                 # A head that was read and that nobody has seen yet is a request.
                 if stream.reading() and stream not in busy:
-                    self.core.lingering.dismiss(stream, NOT_READ)
+                    self.core.lingering.half_close(stream, REQUEST_TIMEOUT_ANSWER)
             await asyncio.sleep(0)
         await self.core.lingering.wait_closed(self._loop.time() + LAST_SECONDS)
 
@@ -270,7 +270,7 @@
         """Wait until a part has failed too often; raise `SupervisorError`."""
         await self._supervisor.wait_failed()
 
-    def hurry(self) -> None:
+    def skip_grace_period(self) -> None:
         """End a stop that is under way at once."""
         self._hurry.set()
         self._end_by(self._loop.time())
--- a/eelgrassrack/gateway/ingress.py
+++ b/eelgrassrack/gateway/ingress.py
@@ -17,7 +17,7 @@
 )
 from tornado.iostream import IOStream
 
-from ..lingering import NOT_READ, Lingering
+from ..lingering import REQUEST_TIMEOUT_ANSWER, LingeringConnections
 from .configuration import Limits
 from .connection import enable_keepalive
 from .errors import CallerGoneError
@@ -125,7 +125,7 @@
         self._loop = asyncio.get_running_loop()
         self._known: weakref.WeakSet[object] = weakref.WeakSet()
         self._idle: dict[HTTPConnection, Pause] = {}
-        self._lingering = Lingering()
+        self._lingering = LingeringConnections()
         self._reading: set[_Message] = set()
         self._serving: set[asyncio.Task] = set()
 
@@ -181,10 +181,12 @@
             if not self._awaits_request(connection, pause):
                 self._dismiss(connection)
 
-    def _dismiss(self, connection: HTTPConnection, answer: bytes = NOT_READ) -> None:
+    def _dismiss(
+        self, connection: HTTPConnection, answer: bytes = REQUEST_TIMEOUT_ANSWER
+    ) -> None:
         """End a connection; nothing that comes on it any more is run."""
         self._leave_idle(connection)
-        self._lingering.dismiss(connection.stream, answer)
+        self._lingering.half_close(connection.stream, answer)
         connection.close()
 
     async def wait_answered(self, until: float) -> None:
--- a/eelgrassrack/gateway/settings.py
+++ b/eelgrassrack/gateway/settings.py
@@ -7,7 +7,7 @@
 from ..document.checks import Items, Number
 from ..document.fields import Key, SectionKind
 from ..document.tables.texts import NAME
-from ..settings import ADDRESS, URL, LogSettings, read_sections_of
+from ..settings import ADDRESS, URL, LogSettings, read_section_and_log
 
 PORT = Number(low=1, high=65_535, whole=True)
 SECONDS = Number(low=0, high=3_600)
@@ -86,5 +86,5 @@
 
 def read_gateway_settings(path: str | pathlib.Path) -> GatewaySettings:
     """Return a gateway's settings; raise a `UserError` with every fault."""
-    values, log = read_sections_of(pathlib.Path(path), GATEWAY)
+    values, log = read_section_and_log(pathlib.Path(path), GATEWAY)
     return GatewaySettings(**values, log=log)
--- a/eelgrassrack/lingering.py
+++ b/eelgrassrack/lingering.py
@@ -29,12 +29,12 @@
 
 # "The server did not receive a complete request message within the time that it
 # was prepared to wait", RFC 9110: whatever comes hasn't run.
-NOT_READ = (
+REQUEST_TIMEOUT_ANSWER = (
     b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
 
-class Lingering:
+class LingeringConnections:
     """Connections that are closed for writing, until their callers close them."""
 
     __slots__ = ("_tasks",)
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task] = set()
 
-    def dismiss(self, stream: IOStream, answer: bytes = b"") -> None:
+    def half_close(self, stream: IOStream, answer: bytes = b"") -> None:
         """End a connection from which nothing more is taken, with a last answer.
 
         The stream is closed at once, so that nobody else reads from it.
@@ -52,7 +52,7 @@
         if rest is not None:
             self._keep(_linger(rest, answer))
 
-    def follow(self, stream: IOStream) -> None:
+    def linger_after_close(self, stream: IOStream) -> None:
         """Read on when the stream is closed after an answer to half a request."""
         rest = _copy_socket(stream)
         if rest is not None:
--- a/eelgrassrack/process.py
+++ b/eelgrassrack/process.py
@@ -24,7 +24,7 @@
     async def wait_failed(self) -> None:
         """Wait until a part has failed too often, then raise."""
 
-    def hurry(self) -> None:
+    def skip_grace_period(self) -> None:
         """End a stop that is under way at once."""
 
 
@@ -35,7 +35,7 @@
     def take_signal() -> None:
         # A second signal says that nobody waits for the grace to pass.
         if stopping.is_set():
-            daemon.hurry()
+            daemon.skip_grace_period()
         stopping.set()
 
     loop = asyncio.get_running_loop()
--- a/eelgrassrack/settings.py
+++ b/eelgrassrack/settings.py
@@ -219,7 +219,7 @@
         raise UserError(f"{path}: not UTF-8 at byte {error.start}") from error
 
 
-def read_sections_of(
+def read_section_and_log(
     path: pathlib.Path, main: SectionKind
 ) -> tuple[dict[str, object], LogSettings]:
     """Return a settings file's main values and how to log.
--- a/eelgrassrack/standins/caller.py
+++ b/eelgrassrack/standins/caller.py
@@ -44,14 +44,14 @@
     body: bytes = b""
 
 
-class Text(msgspec.Struct, kw_only=True, frozen=True):
+class AnswerText(msgspec.Struct, kw_only=True, frozen=True):
     """The text of an answer, and whether it is whole."""
 
     text: str = ""
     is_whole: bool = False
 
 
-Read = Callable[[bytes], Text]
+Read = Callable[[bytes], AnswerText]
 
 
 class Caller:
@@ -130,7 +130,7 @@
     found = response.headers.get
     body = response.body or b""
     is_good = response.code == 200
-    answer = read(body) if is_good else Text()
+    answer = read(body) if is_good else AnswerText()
     return CallAnswer(
         status=response.code,
         text=answer.text,
@@ -145,7 +145,7 @@
     )
 
 
-def read_stream(body: bytes) -> Text:
+def read_stream(body: bytes) -> AnswerText:
     """Return the text of server-sent events and whether they end well."""
     lines = body.decode(errors="replace").split("\n")
     data = [line.removeprefix(DATA) for line in lines if line.startswith(DATA)]
@@ -156,19 +156,19 @@
         for chunk in chunks
         for choice in chunk.get("choices", ())
     )
-    return Text(text="".join(deltas), is_whole=is_whole)
+    return AnswerText(text="".join(deltas), is_whole=is_whole)
 
 
-def read_plain(body: bytes) -> Text:
+def read_plain(body: bytes) -> AnswerText:
     """Return the text of a plain chat answer."""
     answer = msgspec.json.decode(body)
     content = answer["choices"][0]["message"]["content"]
-    return Text(text=content, is_whole=True)
+    return AnswerText(text=content, is_whole=True)
 
 
-def read_any(body: bytes) -> Text:
+def read_any(body: bytes) -> AnswerText:
     """Return any body as text."""
-    return Text(text=body.decode(errors="replace"), is_whole=True)
+    return AnswerText(text=body.decode(errors="replace"), is_whole=True)
 
 
 def _read_code(body: bytes) -> str:
--- a/eelgrassrack/standins/directengine.py
+++ b/eelgrassrack/standins/directengine.py
@@ -116,7 +116,7 @@
         "_steps",
         "_writers",
         "address",
-        "broken",
+        "broken_at",
         "cancelled",
         "connections",
         "name",
@@ -132,7 +132,7 @@
         self.cancelled: list[str] = []
         self.resets: list[str] = []
         # When a stream of an attempt was last broken off, by the steady clock.
-        self.broken: dict[str, float] = {}
+        self.broken_at: dict[str, float] = {}
         self.connections = 0
         self.address = ""
         self._steps = itertools.chain(script, itertools.repeat(script[-1]))
@@ -288,7 +288,7 @@
                 writer.write(machine.send(h11.Data(data=event[:9])))
                 await writer.drain()
                 await asyncio.sleep(0.02)
-                self.broken[run.attempt] = time.monotonic()
+                self.broken_at[run.attempt] = time.monotonic()
                 reset_connection(writer)
                 return False
             writer.write(machine.send(h11.Data(data=event)))
--- a/eelgrassrack/standins/engine.py
+++ b/eelgrassrack/standins/engine.py
@@ -17,9 +17,9 @@
 from .answers import list_tokens
 from .batch import Batch, Generation, Sink
 from .chat import ChatHandler, ChatRequest
+from .enginehandlers import HealthHandler, ModelsHandler, OrdersHandler
 from .records import Health, Order, StartRecord
 from .server import LOOPBACK, StandinServer
-from .sidepaths import HealthHandler, ModelsHandler, OrdersHandler
 
 LOAD_WORD = "load"
 UNLOAD_WORD = "unload"
@@ -29,7 +29,7 @@
 class Engine:
     """A stand-in engine; its public attributes are switches for tests.
 
-    Faults: `crash()`, `make_cold()`, `poison_text`, `slow_factor`,
+    Faults: `crash()`, `make_cold()`, `crash_text`, `slow_factor`,
     `garbage`, `end_early`, `answer_other_id`, `never_answer`,
     `bad_versions`, `report_lag` (seconds).  Counts: `started` (every
     request that reached it, also those that never got a slot), `whole`
@@ -83,7 +83,7 @@
         self._server = StandinServer(app=app)
 
     def _set_up_faults(self) -> None:
-        self.poison_text = ""
+        self.crash_text = ""
         self.slow_factor = 1.0
         self.garbage = False
         self.end_early = False
@@ -261,9 +261,7 @@
     def _step(self) -> None:
         now = self._clock()
         admitted = self._batch.admit(now=now)
-        if self.poison_text and any(
-            self.poison_text in each.prompt for each in admitted
-        ):
+        if self.crash_text and any(self.crash_text in each.prompt for each in admitted):
             self.crash()
             return
         self.most_running = max(self.most_running, self.running)
--- a/eelgrassrack/standins/metadatastore.py
+++ b/eelgrassrack/standins/metadatastore.py
@@ -29,8 +29,8 @@
     BUSY = "busy"
     SILENT = "silent"
     RESET = "reset"
-    LOSES_WRITES = "loses_writes"
-    DEAF = "deaf"
+    LOSES_WRITE_ANSWERS = "loses_writes"
+    HANGS_WATCHES = "deaf"
 
 
 class Draft(msgspec.Struct):
@@ -106,7 +106,7 @@
         """Forget all changes: a watch from before gets 410."""
         self._forgotten = self.revision
 
-    def stay_stale(self) -> None:
+    def freeze_stale_reads(self) -> None:
         """Answer from now on with what lies here now to who bears stale lists."""
         self._stale_pages = {kind: self.list_page(kind) for kind in self._objects}
 
@@ -222,7 +222,7 @@
         self.store.waits[kind] = wait
         last = loop.time() + wait
         while True:
-            if self.store.fault is Fault.DEAF:
+            if self.store.fault is Fault.HANGS_WATCHES:
                 await asyncio.Event().wait()
             found = self.store.find_changes(kind, after)
             if found is None:
@@ -234,7 +234,7 @@
             await asyncio.sleep(LOOK_SECONDS)
 
     def _answer_write(self, made: WireObject) -> None:
-        if self.store.fault is Fault.LOSES_WRITES:
+        if self.store.fault is Fault.LOSES_WRITE_ANSWERS:
             self.request.connection.stream.close()
             return
         self._answer(200, made)
--- a/eelgrassrack/standins/objects.py
+++ b/eelgrassrack/standins/objects.py
@@ -30,7 +30,7 @@
     name: str
 
 
-class Call(NamedTuple):
+class CallKey(NamedTuple):
     """What calls are counted by."""
 
     caller: str
@@ -42,7 +42,7 @@
 
     `outage` refuses every call and ends every watch, `delay` is seconds
     before each call, `lose_answers` is how many of the next writes take
-    effect without their answer reaching the caller, `most_per_second`
+    effect without their answer reaching the caller, `max_calls_per_second`
     bounds the calls in each second of the clock (zero: unbounded).
     Versions come from one counter, so a name that is removed and made
     again never has an old version.  `calls` counts each call, a waiting
@@ -52,8 +52,8 @@
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self.delay = 0.0
         self.lose_answers = 0
-        self.most_per_second = 0
-        self.calls: collections.Counter[Call] = collections.Counter()
+        self.max_calls_per_second = 0
+        self.calls: collections.Counter[CallKey] = collections.Counter()
         self._clock = clock
         self._outage = False
         self._objects: dict[Key, Found] = {}
@@ -79,7 +79,7 @@
 
     def admit(self, *, caller: str, operation: str) -> Unavailable | None:
         """Count a call; return why it is refused, if it is."""
-        self.calls[Call(caller, operation)] += 1
+        self.calls[CallKey(caller, operation)] += 1
         if self._outage:
             return Unavailable(reason=OUTAGE)
         second = int(self._clock())
@@ -87,7 +87,10 @@
             self._second = second
             self._calls_in_second = 0
         self._calls_in_second += 1
-        if self.most_per_second and self._calls_in_second > self.most_per_second:
+        if (
+            self.max_calls_per_second
+            and self._calls_in_second > self.max_calls_per_second
+        ):
             return Unavailable(reason=RATE_LIMITED, retry_after=1.0)
         return None
 
--- a/eelgrassrack/standins/system.py
+++ b/eelgrassrack/standins/system.py
@@ -29,8 +29,8 @@
 POLL_SECONDS = 0.01
 
 # Times of a system that is stopped and started all the time.
-QUICK_GRACE = 10.0
-QUICK_LAG = 0.2
+QUICK_GRACE_SECONDS = 10.0
+QUICK_LAG_SECONDS = 0.2
 
 
 class EndpointPlan(msgspec.Struct, kw_only=True, frozen=True):
@@ -113,8 +113,8 @@
                 mailbox=ANY_MAILBOX,
                 objects_url="",
                 instances_url="",
-                grace_seconds=QUICK_GRACE,
-                lag_seconds=QUICK_LAG,
+                grace_seconds=QUICK_GRACE_SECONDS,
+                lag_seconds=QUICK_LAG_SECONDS,
             ),
             store=self.make_store(name),
             instances=self.instances,
@@ -168,8 +168,8 @@
                 mailbox=ANY_MAILBOX,
                 endpoint_url=endpoint.standin.url,
                 instances_url="",
-                grace_seconds=QUICK_GRACE,
-                lag_seconds=QUICK_LAG,
+                grace_seconds=QUICK_GRACE_SECONDS,
+                lag_seconds=QUICK_LAG_SECONDS,
             ),
             instances=self.instances,
             invariants=self.invariants,
--- a/test/entry/test_last_words.py
+++ b/test/entry/test_last_words.py
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def world(monkeypatch):
-    monkeypatch.setattr(system, "QUICK_GRACE", GRACE_SECONDS)
+    monkeypatch.setattr(system, "QUICK_GRACE_SECONDS", GRACE_SECONDS)
     world = World(monkeypatch)
     try:
         world.start(plans=[REGISTRY, TUTOR_EAST])
--- a/test/entry/test_stop.py
+++ b/test/entry/test_stop.py
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def world(monkeypatch):
-    monkeypatch.setattr(system, "QUICK_GRACE", GRACE_SECONDS)
+    monkeypatch.setattr(system, "QUICK_GRACE_SECONDS", GRACE_SECONDS)
     world = World(monkeypatch)
     try:
         yield world
@@ -195,7 +195,7 @@
 
 def test_a_stop_that_is_hurried_answers_too(world, monkeypatch):
     """A second signal ends the wait and closes connections without a word."""
-    monkeypatch.setattr(system, "QUICK_GRACE", LONG_GRACE_SECONDS)
+    monkeypatch.setattr(system, "QUICK_GRACE_SECONDS", LONG_GRACE_SECONDS)
     world.start(plans=[TUTOR_EAST])
     world.hold_engines()
     sent = world.ask("runs", stream=False)
@@ -203,7 +203,7 @@
     entry = world.entry()
     _, stopping = stop(world)
     began = time.monotonic()
-    entry.hurry()
+    entry.skip_grace_period()
     (answer,) = world.finish(sent)
     world.run(stopping)
     assert (answer.status, answer.run, answer.code) == (502, "ran", "stopping")
@@ -222,7 +222,7 @@
 
 def test_a_late_stream_that_takes_longer_than_expected_isnt_cut(world, monkeypatch):
     """A stopping entry passes on a stream because of an estimate."""
-    monkeypatch.setattr(system, "QUICK_GRACE", 3.0)
+    monkeypatch.setattr(system, "QUICK_GRACE_SECONDS", 3.0)
     world.start(plans=[TUTOR_EAST])
     engine = world.standin("tutor-east")
     engine.slow_factor = 200.0
@@ -259,7 +259,7 @@
 
 def test_a_late_request_that_is_expected_to_end_in_time_is_served(world, monkeypatch):
     """A stopping entry refuses everything, and callers spend their tries."""
-    monkeypatch.setattr(system, "QUICK_GRACE", LONG_GRACE_SECONDS)
+    monkeypatch.setattr(system, "QUICK_GRACE_SECONDS", LONG_GRACE_SECONDS)
     world.start(plans=[TUTOR_EAST])
     url, stopping = stop(world)
     answer = ask_late(world, url)
@@ -269,7 +269,7 @@
 
 def test_a_slow_caller_gets_its_whole_answer_from_a_stopping_entry(world, monkeypatch):
     """A stop cuts an answer that is whole but hasn't left yet."""
-    monkeypatch.setattr(system, "QUICK_GRACE", LONG_GRACE_SECONDS)
+    monkeypatch.setattr(system, "QUICK_GRACE_SECONDS", LONG_GRACE_SECONDS)
     world.start(plans=[REGISTRY])
     for listening in world.entry()._server._sockets.values():
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, BUFFER_BYTES)
--- a/test/gateway/test_follower.py
+++ b/test/gateway/test_follower.py
@@ -58,7 +58,7 @@
             await world.add_engine("e1")
             gateway = await world.start_gateway()
             await world.wait_ready()
-            world.store.fault = Fault.DEAF
+            world.store.fault = Fault.HANGS_WATCHES
             world.configure(version=2, keys=("another",))
             world.store.forget_history()
             await asyncio.sleep(0.1)
@@ -76,7 +76,7 @@
         async with make_world() as world:
             gateway = await world.start_gateway()
             await world.wait_ready()
-            world.store.fault = Fault.DEAF
+            world.store.fault = Fault.HANGS_WATCHES
             await asyncio.sleep(0.3)
             world.configure(version=2)
             await wait_for(lambda: find_version(gateway) == 2, seconds=2.0)
@@ -289,7 +289,7 @@
 
     async def main():
         async with make_world() as world:
-            world.store.stay_stale()
+            world.store.freeze_stale_reads()
             first, second = await asyncio.gather(
                 world.start_gateway(number=3), world.start_gateway(number=4)
             )
--- a/test/gateway/test_late_arrivals.py
+++ b/test/gateway/test_late_arrivals.py
@@ -272,7 +272,7 @@
     """Check what callers got against what endpoints ran."""
     engines = world.engines.values()
     runs = collections.Counter(run.attempt for engine in engines for run in engine.runs)
-    broken = set(itertools.chain.from_iterable(engine.broken for engine in engines))
+    broken = set(itertools.chain.from_iterable(engine.broken_at for engine in engines))
     assert [one for one in told if isinstance(one, BaseException)] == []
     for one in told:
         if one.kind in {"/issue/", "/once/"}:
--- a/test/gateway/test_limits.py
+++ b/test/gateway/test_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrassrack.lingering import NOT_READ
+from eelgrassrack.lingering import REQUEST_TIMEOUT_ANSWER
 
 from .world import KEY, connect, make_world, run, wait_for
 
@@ -151,7 +151,7 @@
             caller.send("/look/1", attempt="a2")
             assert (await caller.read()).status == 200
             began = asyncio.get_running_loop().time()
-            assert await read_end(caller) == NOT_READ
+            assert await read_end(caller) == REQUEST_TIMEOUT_ANSWER
             took = asyncio.get_running_loop().time() - began
             assert 1.4 < took < 2.6
 
--- a/test/gateway/test_rollouts.py
+++ b/test/gateway/test_rollouts.py
@@ -141,7 +141,7 @@
             await world.start_gateway()
             await world.wait_ready()
             order(world, seconds=3.0)
-            world.store.fault = Fault.LOSES_WRITES
+            world.store.fault = Fault.LOSES_WRITE_ANSWERS
             await press(world, until=lambda: world.status_of("plain") == "running")
             await asyncio.sleep(0.5)
             world.store.fault = Fault.NONE
--- a/test/gateway/test_stop.py
+++ b/test/gateway/test_stop.py
@@ -8,7 +8,7 @@
 
 from eelgrassrack.gateway.daemon import ROTATION_SECONDS
 from eelgrassrack.gateway.ingress import FIRST_REQUEST_SECONDS, Ingress
-from eelgrassrack.lingering import NOT_READ
+from eelgrassrack.lingering import REQUEST_TIMEOUT_ANSWER
 from eelgrassrack.standins.directengine import Events, Reply
 
 from .world import HOST, KEY, call, connect, make_world, run, wait_for
@@ -215,7 +215,10 @@
             await wait_for(lambda: gateway.ingress.idle_connections)
             await asyncio.sleep(FIRST_REQUEST_SECONDS + 0.05)
             gateway.ingress.close_idle()
-            assert await asyncio.wait_for(caller.reader.read(), 2) == NOT_READ
+            assert (
+                await asyncio.wait_for(caller.reader.read(), 2)
+                == REQUEST_TIMEOUT_ANSWER
+            )
             caller.close()
 
     run(main())
@@ -232,7 +235,10 @@
             await caller.read()
             await asyncio.sleep(0.05)
             gateway.ingress.close_idle()
-            assert await asyncio.wait_for(caller.reader.read(), 2) == NOT_READ
+            assert (
+                await asyncio.wait_for(caller.reader.read(), 2)
+                == REQUEST_TIMEOUT_ANSWER
+            )
             caller.close()
 
     run(main())
--- a/test/processes/fleet.py
+++ b/test/processes/fleet.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from eelgrassrack.standins.caller import CallAnswer, Text, read_plain, read_stream
+from eelgrassrack.standins.caller import AnswerText, CallAnswer, read_plain, read_stream
 
 from ..ports import find_port
 
@@ -204,7 +204,7 @@
             headers={"Authorization": f"Bearer {KEY}", **(headers or {})},
         )
         read = read_stream if stream else read_plain
-        answer = read(data) if status == 200 else Text()
+        answer = read(data) if status == 200 else AnswerText()
         return CallAnswer(
             status=status,
             text=answer.text,
--- a/test/promises/test_billed.py
+++ b/test/promises/test_billed.py
@@ -60,7 +60,7 @@
 
 @pytest.fixture(autouse=True)
 def short_grace(monkeypatch):
-    monkeypatch.setattr(system, "QUICK_GRACE", GRACE_SECONDS)
+    monkeypatch.setattr(system, "QUICK_GRACE_SECONDS", GRACE_SECONDS)
 
 
 @breaks
--- a/test/promises/test_cold_start.py
+++ b/test/promises/test_cold_start.py
@@ -125,7 +125,7 @@
 @when("a poison request is sent five times while others ask")
 def ask_poison(world):
     for engine in world.engines:
-        engine.poison_text = POISON
+        engine.crash_text = POISON
     for number in range(5):
         poison = world.ask(POISON, entry=number % 2)
         world.ask(f"question {number}", entry=number % 2)
--- a/test/standins/test_engine.py
+++ b/test/standins/test_engine.py
@@ -167,7 +167,7 @@
     """One request crashes the engine, and its caller sends it again."""
 
     async def scenario(engine):
-        engine.poison_text = "poison"
+        engine.crash_text = "poison"
         innocent = asyncio.ensure_future(ask(engine, tokens=8000))
         await until(lambda: engine.running == 1)
         with pytest.raises((HTTPClientError, StreamClosedError, OSError)):
--- a/test/store/test_client.py
+++ b/test/store/test_client.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from eelgrassrack.standins.objectapi import ObjectApi
-from eelgrassrack.standins.objects import Call, ObjectTable, TableStore
+from eelgrassrack.standins.objects import CallKey, ObjectTable, TableStore
 from eelgrassrack.store.client import HttpObjectStore
 from eelgrassrack.store.errors import AddressError
 from eelgrassrack.store.objects import (
@@ -141,7 +141,7 @@
         lost = await create(client)
         assert isinstance(lost, Unavailable)
         assert lost.maybe_written
-        assert platform.table.calls[Call("entry-1", "create")] == 1
+        assert platform.table.calls[CallKey("entry-1", "create")] == 1
         found = await read(client)
         assert found.body == b"one"
         platform.table.lose_answers = 1
@@ -149,7 +149,7 @@
             kind=KIND, name=NAME, body=b"two", version=found.version
         )
         assert lost.maybe_written
-        assert platform.table.calls[Call("entry-1", "replace")] == 1
+        assert platform.table.calls[CallKey("entry-1", "replace")] == 1
         assert (await read(client)).body == b"two"
 
     run(scenario)
@@ -220,7 +220,7 @@
     """The whole fleet together calls more often than the platform takes."""
 
     async def scenario(platform, client):
-        platform.table.most_per_second = 1
+        platform.table.max_calls_per_second = 1
         assert isinstance(await read(client), Absent)
         refused = await create(client)
         assert refused.retry_after == 1.0
@@ -248,7 +248,7 @@
         watch = asyncio.ensure_future(
             client.watch(**where, version=first.version, timeout=50.0)
         )
-        watched = Call("entry-1", "watch")
+        watched = CallKey("entry-1", "watch")
         await until(lambda: platform.table.calls[watched] == 1)
         platform.table.outage = True
         assert isinstance(await watch, Unavailable)
@@ -271,7 +271,7 @@
             await client.watch(**where, version=0, timeout=0.01), Unchanged
         )
         watch = asyncio.ensure_future(client.watch(**where, version=0, timeout=50.0))
-        watched = Call("entry-1", "watch")
+        watched = CallKey("entry-1", "watch")
         await until(lambda: platform.table.calls[watched] == 2)
         written = await create(client)
         assert await watch == Found(body=b"one", version=written.version)
