--- a/conftest.py
+++ b/conftest.py
@@ -1,27 +1,28 @@
-"""Pass over tests of faults that are known and not mended, and print them.
+"""Mark the tests listed in `KNOWN-RED.txt` as expected failures and print the list.
 
-`KNOWN-RED.txt` lists them, a line each: the test's id, what was seen, the issue.
-Lines without a test name hunted days, which no test run plays.
+Each line of the list describes a known fault that has not been fixed: the test's
+node id, what was seen and the issue.  Lines that don't start with a node id describe
+faults found by long fuzzing runs, which the test suite does not run.
 """
 
 import pathlib
 
 import pytest
 
-LIST = pathlib.Path(__file__).with_name("KNOWN-RED.txt")
+KNOWN_FAILURES = pathlib.Path(__file__).with_name("KNOWN-RED.txt")
 
 
-def read_known():
-    """Return the listed tests' ids with their lines."""
-    if not LIST.exists():
+def read_known_failures():
+    """Return the line of each listed test by its node id."""
+    if not KNOWN_FAILURES.exists():
         return {}
-    lines = [line for line in LIST.read_text().splitlines() if line.strip()]
+    lines = [line for line in KNOWN_FAILURES.read_text().splitlines() if line.strip()]
     return {line.split()[0]: line for line in lines if "::" in line.split()[0]}
 
 
 def pytest_collection_modifyitems(items):
-    """Have listed tests run without deciding over the whole."""
-    known = read_known()
+    """Mark listed tests so that their failure does not fail the run."""
+    known = read_known_failures()
     for item in items:
         line = known.get(item.nodeid)
         if line is not None:
@@ -29,8 +30,8 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print what is passed over."""
-    if not LIST.exists():
+    """Print the list of known failures."""
+    if not KNOWN_FAILURES.exists():
         return
     terminalreporter.section("known red")
-    terminalreporter.write(LIST.read_text())
+    terminalreporter.write(KNOWN_FAILURES.read_text())
--- a/eelgrassrack/__init__.py
+++ b/eelgrassrack/__init__.py
@@ -1,3 +1,3 @@
-"""Route requests to permitted model versions, whole and billed once."""
+"""A model-aware router: complete answers from permitted versions, billed once."""
 
 __version__ = "0.1.0"
--- a/eelgrassrack/curl.py
+++ b/eelgrassrack/curl.py
@@ -1,14 +1,14 @@
-"""Tornado's curl client, as this project uses it."""
+"""A subclass of Tornado's curl client that can be closed safely."""
 
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 
 
 class CurlClient(CurlAsyncHTTPClient):
-    """A curl client that may be closed at any moment.
+    """A curl client that can be closed while a callback is scheduled.
 
-    Tornado's own schedules a callback that it doesn't take back in
-    `close`.  When a process stops, that callback then fails on the closed
-    handle and leaves a traceback in the log that looks like a fault.
+    Tornado's client does not cancel its scheduled timeout callback in `close`.
+    When a process stops, the callback fails on the closed handle and logs a
+    misleading traceback.
     """
 
     def _handle_timeout(self) -> None:
@@ -17,5 +17,5 @@
 
 
 def make_client(*, max_clients: int) -> CurlClient:
-    """Return a client of its own with so many connections at most."""
+    """Return a new client that opens at most `max_clients` connections."""
     return CurlClient(force_instance=True, max_clients=max_clients)
--- a/eelgrassrack/demo.py
+++ b/eelgrassrack/demo.py
@@ -1,9 +1,9 @@
-"""A demonstration: a whole system in one process under mixed traffic.
+"""A demonstration: a complete system in one process under mixed traffic.
 
-Each of the users' sample documents is put in force in a system of its
-own.  While callers send lookups, questions, long reviews and requests
-that may not be repeated, a version is withdrawn and a failure domain taken
-out and brought back.  The last line says what callers got.
+Each sample document runs in a separate system.  While callers send lookups,
+questions, long reviews and non-repeatable requests, the demo withdraws a version,
+takes a failure domain out of service and brings it back.  The last line of the
+output sums up what callers received.
 """
 
 import asyncio
@@ -25,18 +25,21 @@
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
 
 REQUESTS = 240
-AT_ONCE = 24
-WITHDRAW_AT = 80
-OUT_AT = 120
-IN_AT = 180
+CONCURRENT_REQUESTS = 24
+WITHDRAW_AT_REQUEST = 80
+DOMAIN_OUT_AT_REQUEST = 120
+DOMAIN_IN_AT_REQUEST = 180
 SETTLE_SECONDS = 10.0
-TRIES = 4
-SAMPLE_KEY = "sample-key-"
-TOKENS_A_SECOND = 400.0
+MAX_TRIES = 4
+API_KEY_PREFIX = "sample-key-"
+TOKENS_PER_SECOND = 400.0
 
 
-class Scene(msgspec.Struct, kw_only=True, frozen=True):
-    """One user's system: its document, endpoints and traffic."""
+class Scenario(msgspec.Struct, kw_only=True, frozen=True):
+    """The document, endpoints and traffic of one sample system.
+
+    `cheap` lists the models that the rating stand-in scores low on hard prompts.
+    """
 
     document: str
     plans: list[EndpointPlan]
@@ -47,7 +50,7 @@
 
 
 class Call(msgspec.Struct, kw_only=True, frozen=True):
-    """One kind of request; with `service` it isn't a chat."""
+    """One kind of request: a service call if `service` is set, else a chat."""
 
     organisation: str
     model: str = ""
@@ -59,7 +62,7 @@
 
 
 class Outcome(msgspec.Struct, kw_only=True):
-    """What all callers of a scene got."""
+    """The results of all requests of a scenario."""
 
     requests: int = 0
     whole: int = 0
@@ -68,7 +71,7 @@
     faults: list[str] = []
 
     def add(self, other: "Outcome") -> None:
-        """Add another scene's outcome."""
+        """Add the outcome of another scenario."""
         self.requests += other.requests
         self.whole += other.whole
         self.refused += other.refused
@@ -77,8 +80,8 @@
 
 
 def run() -> int:
-    """Run the demonstration; return 1 if a promise broke."""
-    outcome = asyncio.run(_run_scenes())
+    """Run the demonstration; return 1 if a promise was broken, else 0."""
+    outcome = asyncio.run(_run_scenarios())
     for fault in outcome.faults:
         print(f"demo: fault: {fault}")
     print(
@@ -88,43 +91,43 @@
     return 1 if outcome.faults else 0
 
 
-async def _run_scenes() -> Outcome:
+async def _run_scenarios() -> Outcome:
     total = Outcome()
-    for scene in (_make_keelwater(), _make_cimq()):
-        total.add(await Play(scene=scene).run())
+    for scenario in (_make_keelwater(), _make_cimq()):
+        total.add(await ScenarioRun(scenario=scenario).run())
     return total
 
 
-class Play:
-    """One scene as it is played."""
+class ScenarioRun:
+    """Runs one scenario and checks its results."""
 
-    def __init__(self, *, scene: Scene) -> None:
-        self._scene = scene
+    def __init__(self, *, scenario: Scenario) -> None:
+        self._scenario = scenario
         self._callers: dict[str, Caller] = {}
         self._outcome = Outcome()
         self._answered: set[str] = set()
         self._system = System(
-            plans=scene.plans,
+            plans=scenario.plans,
             entries=2,
-            cheap=scene.cheap,
-            tokens_per_second=TOKENS_A_SECOND,
+            cheap=scenario.cheap,
+            tokens_per_second=TOKENS_PER_SECOND,
         )
 
     async def run(self) -> Outcome:
-        """Play the scene to its end."""
-        await self._system.start(document=self._scene.document)
+        """Run the scenario and return its outcome."""
+        await self._system.start(document=self._scenario.document)
         self._callers = {
-            call.organisation: Caller(key=f"{SAMPLE_KEY}{call.organisation}")
-            for call in self._scene.calls
+            call.organisation: Caller(key=f"{API_KEY_PREFIX}{call.organisation}")
+            for call in self._scenario.calls
         }
-        gate = asyncio.Semaphore(AT_ONCE)
-        calls = itertools.islice(itertools.cycle(self._scene.calls), REQUESTS)
+        semaphore = asyncio.Semaphore(CONCURRENT_REQUESTS)
+        calls = itertools.islice(itertools.cycle(self._scenario.calls), REQUESTS)
         tasks = []
         for number, call in enumerate(calls):
-            await gate.acquire()
-            await self._act(number)
+            await semaphore.acquire()
+            await self._change_document(number)
             task = asyncio.create_task(self._call(number, call))
-            task.add_done_callback(lambda _: gate.release())
+            task.add_done_callback(lambda _: semaphore.release())
             tasks.append(task)
         await asyncio.gather(*tasks)
         await self._check()
@@ -133,17 +136,17 @@
         await self._system.stop()
         return self._outcome
 
-    async def _act(self, number: int) -> None:
-        """Do what an operator does at this point of the scene."""
-        scene = self._scene
-        if number == WITHDRAW_AT:
-            old = f"[version {scene.withdrawn}]\n"
+    async def _change_document(self, number: int) -> None:
+        """Apply the operator's change that is due before this request, if any."""
+        scenario = self._scenario
+        if number == WITHDRAW_AT_REQUEST:
+            old = f"[version {scenario.withdrawn}]\n"
             await self._edit(old, f"{old}state = withdrawn\n", "version *")
-        if number == OUT_AT:
-            old = f"[domain {scene.domain}]\n"
+        if number == DOMAIN_OUT_AT_REQUEST:
+            old = f"[domain {scenario.domain}]\n"
             await self._edit(old, f"{old}state = out\n", "domain *")
-        if number == IN_AT:
-            new = f"[domain {scene.domain}]\n"
+        if number == DOMAIN_IN_AT_REQUEST:
+            new = f"[domain {scenario.domain}]\n"
             await self._edit(f"{new}state = out\n", new, "domain *")
 
     async def _edit(self, old: str, new: str, pattern: str) -> None:
@@ -162,12 +165,12 @@
         await self._system.wait_ready(revision=result.revision)
 
     async def _call(self, number: int, call: Call) -> None:
-        """Send one request, and again while it is refused for now."""
+        """Send one request; resend it if it did not run and may be retried."""
         self._outcome.requests += 1
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             answer = await self._send(number, call)
             if answer.status == 200 and answer.is_whole:
-                self._take_whole(number, call, answer)
+                self._record_answer(number, call, answer)
                 return
             if answer.run != "not-run" or not answer.retry_after:
                 break
@@ -196,7 +199,7 @@
             stream=call.stream,
         )
 
-    def _take_whole(self, number: int, call: Call, answer: CallAnswer) -> None:
+    def _record_answer(self, number: int, call: Call, answer: CallAnswer) -> None:
         self._outcome.whole += 1
         self._answered.add(answer.request)
         if call.service:
@@ -206,9 +209,9 @@
             self._outcome.faults.append(f"request {number} got another answer")
 
     async def _check(self) -> None:
-        """Hold what happened against the promises."""
-        totals = await self._wait_billed()
-        self._outcome.billed = sum(each.requests for each in totals.organisations)
+        """Record a fault for each broken promise."""
+        totals = await self._wait_for_bills()
+        self._outcome.billed = sum(bills.requests for bills in totals.organisations)
         if totals.doubled:
             self._outcome.faults.append(f"billed twice: {totals.doubled}")
         if self._outcome.billed != len(self._answered):
@@ -226,12 +229,12 @@
             for promise, count in self._system.invariants.broken.items()
         ]
 
-    async def _wait_billed(self) -> BillTotals:
+    async def _wait_for_bills(self) -> BillTotals:
         store = self._system.make_store("demo")
         ends_at = time.monotonic() + SETTLE_SECONDS
         while True:
             totals = await read_totals(store=store, invariants=Invariants(strict=False))
-            billed = sum(each.requests for each in totals.organisations)
+            billed = sum(bills.requests for bills in totals.organisations)
             if billed >= len(self._answered) or time.monotonic() > ends_at:
                 return totals
             await asyncio.sleep(0.1)
@@ -250,7 +253,7 @@
 
 
 def _plan_endpoints(domains: tuple[str, ...], models: str, services: str) -> list:
-    """Return three engines and a service in each failure domain."""
+    """Return plans for three engines and one service in each failure domain."""
     engines = [
         EndpointPlan(name=f"{domain}-engine-{number}", domain=domain, pool=models)
         for domain in domains
@@ -263,8 +266,8 @@
     return engines + plain
 
 
-def _make_keelwater() -> Scene:
-    return Scene(
+def _make_keelwater() -> Scenario:
+    return Scenario(
         document=_read_example("keelwater.ini"),
         plans=_plan_endpoints(
             ("lansing", "toledo", "windsor"), "assessment", "registry"
@@ -288,8 +291,8 @@
     )
 
 
-def _make_cimq() -> Scene:
-    return Scene(
+def _make_cimq() -> Scenario:
+    return Scenario(
         document=_read_example("cimq.ini"),
         plans=_plan_endpoints(
             ("quebec-east-1", "quebec-east-2", "quebec-east-3"),
--- a/eelgrassrack/errors.py
+++ b/eelgrassrack/errors.py
@@ -1,14 +1,14 @@
-"""The one error that users see, and the base of every layer's errors."""
+"""The base class of all errors, and the error that is shown to users."""
 
 
 class EelgrassrackError(Exception):
-    """Base of every error this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class UserError(EelgrassrackError):
-    """An error whose text the command line prints as one line.
+    """An error whose text the command line prints without a traceback.
 
-    `exit_code` is the status the process ends with.
+    `exit_code` is the exit status of the process.
     """
 
     def __init__(self, text: str, *, exit_code: int = 1) -> None:
--- a/eelgrassrack/hopbyhop.py
+++ b/eelgrassrack/hopbyhop.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection and end at each hop (RFC 9110, 7.6.1)."""
+"""Hop-by-hop headers, which a proxy must not forward (RFC 9110, section 7.6.1)."""
 
 HOP_BY_HOP = frozenset(
     {
--- a/eelgrassrack/incarnations.py
+++ b/eelgrassrack/incarnations.py
@@ -1,4 +1,4 @@
-"""Names of single starts of processes."""
+"""Unique names for each start of a process."""
 
 import secrets
 
@@ -6,5 +6,5 @@
 
 
 def make_incarnation(*, name: str) -> str:
-    """Return a name that no other start of any process has."""
+    """Return `name` with a random suffix that identifies this start of the process."""
     return f"{name}.{secrets.token_hex(INCARNATION_BYTES)}"
--- a/eelgrassrack/invariants.py
+++ b/eelgrassrack/invariants.py
@@ -1,8 +1,8 @@
-"""Assertions about what must always hold, checked where it is decided.
+"""Runtime checks of the promises, made where the code decides about them.
 
-In tests a broken invariant raises at once.  In production it is counted
-and logged instead: a fault in the router's own reasoning must not cost
-other callers their answers.
+In tests a broken invariant raises an error.  In production it is counted and
+logged instead, because a bug in the router must not cost other callers their
+answers.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 
 class Promise(enum.Enum):
-    """The promises of which each has one place that decides it."""
+    """The promises; the code decides about each of them in one place."""
 
     PERMITTED = "permitted model and version"
     WITHDRAWN = "withdrawn version gets no new work"
@@ -36,11 +36,15 @@
 
 
 class InvariantError(EelgrassrackError):
-    """A promise was about to be broken by the program's own fault."""
+    """A bug in the router was about to break a promise."""
 
 
 class Invariants:
-    """Check promises; raise when strict, else count and log."""
+    """Check promises and count the results.
+
+    A broken promise is logged; with `strict` it also raises `InvariantError`.
+    `strict` defaults to whether `EELGRASSRACK_STRICT` is in the environment.
+    """
 
     __slots__ = ("broken", "checked", "strict")
 
@@ -50,7 +54,7 @@
         self.broken: collections.Counter[Promise] = collections.Counter()
 
     def check(self, promise: Promise, holds: bool, detail: str = "") -> bool:
-        """Count a check of a promise and report when it doesn't hold."""
+        """Return `holds`; count the check, and log or raise if it is false."""
         self.checked[promise] += 1
         if holds:
             return True
--- a/eelgrassrack/lingering.py
+++ b/eelgrassrack/lingering.py
@@ -1,9 +1,9 @@
-"""Connections that a process ends while a request may be on its way.
+"""Lingering close of connections on which a request may still arrive.
 
-Closed at once, such a connection is reset as soon as the request arrives: its
-caller gets no answer and can't know whether the request ran.  So a caller is told
-first, the connection is closed for writing only, and what still comes is read
-and thrown away until the caller has closed it too.
+If a process closes such a connection completely, the kernel resets it when the
+request arrives: the caller gets no answer and can't know whether the request ran.
+So the process sends a last answer, closes the connection for writing only, and
+reads and discards incoming data until the caller closes it too.
 """
 
 import asyncio
@@ -16,26 +16,29 @@
 
 log = logbook.Logger("lingering")
 
-# Without a byte: for callers that look at their connections only when they next
-# use them.  And in all, for those that go on sending.
-LINGER_SECONDS = 1.0
-MOST_SECONDS = 30.0
+# How long to wait for further data.  It is limited because some callers notice a
+# closed connection only when they next use it.
+IDLE_SECONDS = 1.0
 
-# How often, and how many times, it is looked whether an answer has left.
-FOLLOW_SECONDS = 0.01
-FOLLOW_LOOKS = 100
+# Limits the whole close for callers that never stop sending.
+MAX_LINGER_SECONDS = 30.0
+
+# How often, and how many times, to check whether the stream has been closed.
+POLL_SECONDS = 0.01
+MAX_POLLS = 100
 
 READ_BYTES = 65_536
 
-# "The server did not receive a complete request message within the time that it
-# was prepared to wait", RFC 9110: whatever comes hasn't run.
+# RFC 9110 defines 408 as "the server did not receive a complete request message
+# within the time that it was prepared to wait", so the caller knows that its
+# request has not run.
 REQUEST_TIMEOUT_ANSWER = (
     b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
 
 class LingeringConnections:
-    """Connections that are closed for writing, until their callers close them."""
+    """Connections that are closed for writing and wait for their callers to close."""
 
     __slots__ = ("_tasks",)
 
@@ -43,66 +46,75 @@
         self._tasks: set[asyncio.Task] = set()
 
     def half_close(self, stream: IOStream, answer: bytes = b"") -> None:
-        """End a connection from which nothing more is taken, with a last answer.
+        """Send a last answer and close the connection for writing.
 
-        The stream is closed at once, so that nobody else reads from it.
+        The stream itself is closed immediately, so that no other code reads
+        from it.
         """
-        rest = _copy_socket(stream)
+        sock = _copy_socket(stream)
         stream.close()
-        if rest is not None:
-            self._keep(_linger(rest, answer))
+        if sock is not None:
+            self._start_task(_linger(sock, answer))
 
     def linger_after_close(self, stream: IOStream) -> None:
-        """Read on when the stream is closed after an answer to half a request."""
-        rest = _copy_socket(stream)
-        if rest is not None:
-            self._keep(_linger_after(stream, rest))
+        """Keep reading from the connection after the stream has been closed.
+
+        This serves callers that get an answer before they have sent the whole
+        request.
+        """
+        sock = _copy_socket(stream)
+        if sock is not None:
+            self._start_task(_linger_after(stream, sock))
 
-    def _keep(self, work: Coroutine[None, None, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def wait_closed(self, until: float) -> None:
-        """Wait until all callers have closed, or a time of the loop; then close."""
+        """Wait until all callers have closed their connections, then return.
+
+        `until` is a time of the event loop's clock, after which the remaining
+        connections are closed.
+        """
         if not self._tasks:
             return
-        left = max(until - asyncio.get_running_loop().time(), 0.0)
-        _, open_tasks = await asyncio.wait(tuple(self._tasks), timeout=left)
+        remaining = max(until - asyncio.get_running_loop().time(), 0.0)
+        _, open_tasks = await asyncio.wait(tuple(self._tasks), timeout=remaining)
         for task in open_tasks:
             task.cancel()
         await asyncio.gather(*open_tasks, return_exceptions=True)
 
 
 def _copy_socket(stream: IOStream) -> socket.socket | None:
-    """Return another descriptor of a stream's connection, if it is open."""
+    """Return a duplicate of the stream's socket, or None if the stream is closed."""
     if stream.closed():
         return None
     try:
         return stream.socket.dup()
     except OSError as error:
-        log.warning("lingering: a connection is closed at once: {}", error)
+        log.warning("lingering: connection closed without lingering: {}", error)
         return None
 
 
-async def _linger_after(stream: IOStream, rest: socket.socket) -> None:
-    for _ in range(FOLLOW_LOOKS):
+async def _linger_after(stream: IOStream, sock: socket.socket) -> None:
+    for _ in range(MAX_POLLS):
         if stream.closed():
             break
-        await asyncio.sleep(FOLLOW_SECONDS)
-    await _linger(rest, b"")
+        await asyncio.sleep(POLL_SECONDS)
+    await _linger(sock, b"")
 
 
-async def _linger(rest: socket.socket, answer: bytes) -> None:
+async def _linger(sock: socket.socket, answer: bytes) -> None:
     loop = asyncio.get_running_loop()
-    with rest, contextlib.suppress(OSError, TimeoutError):
-        async with asyncio.timeout(MOST_SECONDS):
-            await loop.sock_sendall(rest, answer)
-            rest.shutdown(socket.SHUT_WR)
-            while await _read(rest):
+    with sock, contextlib.suppress(OSError, TimeoutError):
+        async with asyncio.timeout(MAX_LINGER_SECONDS):
+            await loop.sock_sendall(sock, answer)
+            sock.shutdown(socket.SHUT_WR)
+            while await _read(sock):
                 pass
 
 
-async def _read(rest: socket.socket) -> bytes:
-    async with asyncio.timeout(LINGER_SECONDS):
-        return await asyncio.get_running_loop().sock_recv(rest, READ_BYTES)
+async def _read(sock: socket.socket) -> bytes:
+    async with asyncio.timeout(IDLE_SECONDS):
+        return await asyncio.get_running_loop().sock_recv(sock, READ_BYTES)
--- a/eelgrassrack/listening.py
+++ b/eelgrassrack/listening.py
@@ -1,4 +1,4 @@
-"""Sockets that listen for callers, up to their end."""
+"""Graceful shutdown of the sockets that listen for callers."""
 
 import asyncio
 import socket
@@ -6,25 +6,25 @@
 
 from tornado.tcpserver import TCPServer
 
-# In which the library begins to read from connections that were just taken in.
-TAKE_IN_SECONDS = 0.05
+# Gives Tornado time to start reading from the connections accepted last.
+ACCEPT_SECONDS = 0.05
 
 
 async def stop_listening(server: TCPServer, listeners: Iterable[socket.socket]) -> None:
-    """Take in the callers that have connected, and refuse connections then.
+    """Accept the connections in the listen queues, then stop listening.
 
-    Closed with the socket, a connection that was made looks to its caller as
-    if its request might have run.
+    Connections still queued when the socket closes would be reset, and their
+    callers could not know whether their requests ran.
     """
     for listener in listeners:
-        for connection, address in _list_waiting(listener):
+        for connection, address in _accept_queued(listener):
             server._handle_connection(connection, address)
     server.stop()
-    await asyncio.sleep(TAKE_IN_SECONDS)
+    await asyncio.sleep(ACCEPT_SECONDS)
 
 
-def _list_waiting(listener: socket.socket) -> Iterator[tuple[socket.socket, object]]:
-    """Accept the connections that wait in a socket's queue, with their addresses."""
+def _accept_queued(listener: socket.socket) -> Iterator[tuple[socket.socket, object]]:
+    """Accept and yield each queued connection with its address."""
     while True:
         try:
             yield listener.accept()
--- a/eelgrassrack/logs.py
+++ b/eelgrassrack/logs.py
@@ -1,8 +1,8 @@
-"""How the daemons log: text for people or one JSON object a line.
+"""Logging of the daemons, as plain text or one JSON object per line.
 
-Log messages start with a fixed prefix for their part.  The id of the
-request at hand is kept in a context variable, so that every record
-written while the request is served carries it, whichever part writes.
+Each message starts with the fixed prefix of the component that writes it.  A
+context variable holds the id of the current request, so that all records written
+while the request is served carry the id, whichever component writes them.
 """
 
 import contextvars
@@ -27,8 +27,8 @@
 )
 
 
-class Line(msgspec.Struct, kw_only=True, frozen=True, omit_defaults=True):
-    """One record as JSON; `time` is UTC in ISO 8601."""
+class JsonRecord(msgspec.Struct, kw_only=True, frozen=True, omit_defaults=True):
+    """One log record as JSON; `time` is UTC in ISO 8601."""
 
     time: str
     level: str
@@ -39,7 +39,7 @@
 
 
 def bind_request(request: str) -> contextvars.Token[str]:
-    """Have the current task's log records carry this request id."""
+    """Add this request id to the log records of the current task."""
     return _request.set(request)
 
 
@@ -51,10 +51,10 @@
 def install_handlers(
     settings: LogSettings, *, stream: TextIO | None = None
 ) -> logbook.NestedSetup:
-    """Send every log record to the stream as the settings say.
+    """Write log records to `stream` in the configured format and level.
 
-    `stream` is the standard error stream unless given.  Returns what was
-    installed; its `pop_application` removes it.
+    `stream` defaults to the standard error stream.  Call `pop_application` of the
+    returned setup to remove the handlers.
     """
     handler = logbook.StreamHandler(
         stream or sys.stderr,
@@ -71,41 +71,45 @@
 
 
 class BoundedHandler(logbook.Handler):
-    """Write JSON lines to a file descriptor, so many a second at most.
+    """Write JSON lines to a file descriptor, rate-limited and without blocking.
 
-    A reader of the log that stalls would otherwise stall every request: a
-    line that can't be written at once, or is over the bound, is dropped and
-    counted, and the next line that is written tells how many were.
+    A line that can't be written immediately or exceeds `lines_per_second` is
+    dropped and counted, because a log reader that stalls would otherwise stall
+    all requests.  The next line that is written contains the number of dropped
+    lines.
     """
 
     def __init__(self, *, descriptor: int, level: int, lines_per_second: int) -> None:
         super().__init__(level=level)
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._most = lines_per_second
+        self._max_per_second = lines_per_second
         self._second = 0
         self._written = 0
-        self._rest = b""
+        self._unwritten = b""
         self.dropped = 0
-        self._untold = 0
+        self._dropped_unreported = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or drop and count it."""
+        """Write a record, or drop it and count it."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
             self._written = 0
-        if self._written >= self._most or not self._write(b""):
+        if self._written >= self._max_per_second or not self._write(b""):
             self._drop()
             return
         self._written += 1
-        line = format_bounded(record, dropped=self._untold)
-        self._untold = 0
+        line = format_bounded(record, dropped=self._dropped_unreported)
+        self._dropped_unreported = 0
         self._write(line)
 
     def _write(self, line: bytes) -> bool:
-        """Write what is left of the last line, then this; tell whether all went."""
-        data = self._rest + line
+        """Write the rest of the previous line, then `line`.
+
+        Return whether everything was written.
+        """
+        data = self._unwritten + line
         if not data:
             return True
         try:
@@ -113,20 +117,21 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the log any more, which must not end the service.
+            # The log reader is gone, which must not stop the service.
             written = len(data)
-        self._rest = data[written:]
-        return not self._rest
+        self._unwritten = data[written:]
+        return not self._unwritten
 
     def _drop(self) -> None:
         self.dropped += 1
-        self._untold += 1
+        self._dropped_unreported += 1
 
 
 class BoundedLine(msgspec.Struct, kw_only=True, frozen=True, omit_defaults=True):
-    """One record; `dropped` lines before it weren't written.
+    """One log record as JSON; `time` is Unix seconds.
 
-    `fields` holds the record's values by name.
+    `fields` holds the record's named values.  `dropped` is the number of lines
+    dropped since the previous written line.
     """
 
     time: float
@@ -138,7 +143,7 @@
 
 
 def format_bounded(record: logbook.LogRecord, *, dropped: int) -> bytes:
-    """Return a record as one line of JSON."""
+    """Return a record as one line of JSON, for `BoundedHandler`."""
     line = BoundedLine(
         time=round(time.time(), 4),
         level=record.level_name.lower(),
@@ -150,24 +155,24 @@
     return msgspec.json.encode(line) + b"\n"
 
 
-# Two lines a request at ten times the requests of an entry today.
-MOST_LINES_PER_SECOND = 400
+# Two lines per request at ten times the present request rate of an entry.
+MAX_LINES_PER_SECOND = 400
 
 
 def install_bounded(settings: LogSettings) -> BoundedHandler:
-    """Send log records to the standard output, bounded and never blocking."""
+    """Write log records to the standard output by a `BoundedHandler`."""
     handler = BoundedHandler(
         descriptor=sys.stdout.fileno(),
         level=logbook.lookup_level(settings.level.upper()),
-        lines_per_second=MOST_LINES_PER_SECOND,
+        lines_per_second=MAX_LINES_PER_SECOND,
     )
     logbook.NestedSetup([logbook.NullHandler(), handler]).push_application()
     return handler
 
 
 def format_json(record: logbook.LogRecord, handler: logbook.Handler) -> str:
-    """Return a record as one line of JSON."""
-    line = Line(
+    """Return a record as JSON without a line break, for a logbook handler."""
+    line = JsonRecord(
         time=record.time.isoformat(timespec="microseconds") + "Z",
         level=record.level_name.lower(),
         channel=record.channel,
--- a/eelgrassrack/losses.py
+++ b/eelgrassrack/losses.py
@@ -1,9 +1,9 @@
-"""Why requests were late or lost, by what gateways' logs say of each.
+"""Finds out from the gateways' logs why requests were late or lost.
 
-A request is lost if its caller got no whole answer, and late if its first piece or
-a pause took longer than its route wants.  One cause is named for each: the fault
-of an endpoint if there was any on the way, else what took the time.  Callers that
-reached no gateway have no line in any log.
+A request is lost if its caller got no complete answer.  It is late if the first
+piece of the answer or a pause within it took longer than the objective of its
+route.  Each such request gets one cause: the first endpoint fault that it met, or
+else what delayed it.  Requests that reached no gateway are in no log.
 """
 
 import collections
@@ -14,34 +14,34 @@
 
 from .requesttrace import LogLine
 
-# A wait of this part of the objective before the endpoint read the prompt is what
-# made a request late.
+# A late request counts as delayed by queueing if it waited longer than this share
+# of the objective before the endpoint read its prompt.
 WAIT_SHARE = 0.3
 
 
 class Cause(enum.Enum):
     """Why a request was late or lost."""
 
-    DARK = "endpoint out of reach or silent"
-    BROKEN = "answer cut off"
+    UNREACHABLE = "endpoint out of reach or silent"
+    CUT_OFF = "answer cut off"
     FAILED = "endpoint answered with a failure"
-    NOT_RUN = "endpoints refused"
-    STOPPED = "gateway stopping"
+    REFUSED = "endpoints refused"
+    STOPPING = "gateway stopping"
     NO_ENDPOINT = "no endpoint"
-    REPEATED = "no further try allowed"
-    LEFT = "caller left"
+    NO_RETRY = "no further try allowed"
+    CALLER_LEFT = "caller left"
     PAUSED = "pause within the stream"
-    WAITED = "waited behind others"
-    MODEL = "another model was asked"
+    QUEUED = "waited behind others"
+    ESCALATED = "another model was asked"
     SLOW = "took longer than expected"
-    OTHER = "not explained"
+    UNKNOWN = "not explained"
 
 
 class Loss(msgspec.Struct, kw_only=True, frozen=True):
     """A request that was late or lost.
 
-    `seconds` is from its arrival to its end, `news_age` how old the view of other
-    gateways' load was at its last placement.
+    `seconds` is the time from arrival to end.  `news_age` is the age, in seconds, of
+    the peer updates about other gateways' load when its last attempt was placed.
     """
 
     request: str
@@ -55,7 +55,11 @@
 
 
 class CauseCount(msgspec.Struct, kw_only=True, frozen=True):
-    """How many requests one cause made late, and how many it lost."""
+    """The number of late and lost requests with one cause.
+
+    `mean_seconds` is their mean duration.  `busiest` is the endpoint of most last
+    attempts and the number of these.
+    """
 
     cause: Cause
     late: int
@@ -64,8 +68,8 @@
     busiest: str
 
 
-class Attempt(msgspec.Struct):
-    """What a line says of one attempt."""
+class AttemptFields(msgspec.Struct):
+    """Fields of the log line of one attempt; times are in seconds."""
 
     endpoint: str = ""
     outcome: str = ""
@@ -76,8 +80,12 @@
     news_age: float = 0.0
 
 
-class End(msgspec.Struct):
-    """What the last line of a request says; `gap` is its longest pause."""
+class EndFields(msgspec.Struct):
+    """Fields of the last log line of a request; times are in seconds.
+
+    `first` is the time to the first piece of the answer and `gap` the longest pause
+    after it.
+    """
 
     end: str = ""
     status: int = 0
@@ -91,113 +99,117 @@
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether the caller got no whole answer, though it was permitted."""
+        """Return whether a permitted request got no complete answer."""
         if self.end == "refused":
             return self.status >= 500
         return self.end != "answered"
 
     @property
     def is_late(self) -> bool:
-        """Tell whether the first piece or a pause took longer than wanted."""
+        """Return whether the first piece or a pause exceeded its objective."""
         return self.first > self.objective > 0 or self.has_paused
 
     @property
     def has_paused(self) -> bool:
-        """Tell whether a pause was longer than wanted."""
+        """Return whether a pause exceeded its objective."""
         return self.gap > self.gap_objective > 0
 
 
 def find_losses(lines: Iterable[LogLine]) -> list[Loss]:
-    """Return the requests that were late or lost, in the order of their ends."""
-    attempts: dict[str, list[Attempt]] = collections.defaultdict(list)
+    """Return the late and lost requests, ordered by their ends."""
+    attempts: dict[str, list[AttemptFields]] = collections.defaultdict(list)
     losses = []
-    for line in sorted(lines, key=lambda one: one.time):
+    for line in sorted(lines, key=lambda line: line.time):
         request = str(line.fields.get("request", ""))
         if "outcome" in line.fields:
-            attempts[request].append(msgspec.convert(line.fields, Attempt))
+            attempts[request].append(msgspec.convert(line.fields, AttemptFields))
         elif "end" in line.fields:
-            end = msgspec.convert(line.fields, End)
-            made = attempts.pop(request, [])
+            end = msgspec.convert(line.fields, EndFields)
+            tried = attempts.pop(request, [])
             if end.is_lost or end.is_late:
-                losses.append(_describe(line.time, request, end, made))
+                losses.append(_describe(line.time, request, end, tried))
     return losses
 
 
 def count_causes(losses: Iterable[Loss]) -> list[CauseCount]:
-    """Return the causes that occurred, those of most losses first."""
+    """Return the counts by cause, sorted by lost and then late requests, descending."""
     by_cause: dict[Cause, list[Loss]] = collections.defaultdict(list)
     for loss in losses:
         by_cause[loss.cause].append(loss)
-    counts = [_count(cause, found) for cause, found in by_cause.items()]
-    return sorted(counts, key=lambda one: (-one.lost, -one.late))
+    counts = [_count(cause, group) for cause, group in by_cause.items()]
+    return sorted(counts, key=lambda count: (-count.lost, -count.late))
 
 
 def _count(cause: Cause, losses: list[Loss]) -> CauseCount:
-    lost = sum(one.is_lost for one in losses)
-    last = collections.Counter(one.endpoints[-1] for one in losses if one.endpoints)
+    lost = sum(loss.is_lost for loss in losses)
+    last = collections.Counter(loss.endpoints[-1] for loss in losses if loss.endpoints)
     name, times = (last.most_common(1) or [("", 0)])[0]
     return CauseCount(
         cause=cause,
         late=len(losses) - lost,
         lost=lost,
-        mean_seconds=sum(one.seconds for one in losses) / len(losses),
+        mean_seconds=sum(loss.seconds for loss in losses) / len(losses),
         busiest=f"{name} {times}" if name else "",
     )
 
 
-def _describe(time: float, request: str, end: End, attempts: list[Attempt]) -> Loss:
+def _describe(
+    time: float, request: str, end: EndFields, attempts: list[AttemptFields]
+) -> Loss:
     return Loss(
         request=request,
         time=time,
         cause=_find_cause(end, attempts),
         is_lost=end.is_lost,
         route=end.route,
-        endpoints=tuple(one.endpoint for one in attempts),
+        endpoints=tuple(attempt.endpoint for attempt in attempts),
         seconds=end.seconds,
         news_age=attempts[-1].news_age if attempts else 0.0,
     )
 
 
-def _find_cause(end: End, attempts: list[Attempt]) -> Cause:
-    faults = [cause for one in attempts if (cause := _find_fault(one)) is not None]
+def _find_cause(end: EndFields, attempts: list[AttemptFields]) -> Cause:
+    faults = [
+        cause for attempt in attempts if (cause := _find_fault(attempt)) is not None
+    ]
     if faults:
         return faults[0]
     if end.is_lost:
-        return _find_end(end)
+        return _find_end_cause(end)
     if end.has_paused:
         return Cause.PAUSED
-    if any(one.wait > end.objective * WAIT_SHARE for one in attempts):
-        return Cause.WAITED
-    if any(one.outcome == "Unsure" for one in attempts):
-        return Cause.MODEL
-    return Cause.SLOW if attempts else Cause.OTHER
+    if any(attempt.wait > end.objective * WAIT_SHARE for attempt in attempts):
+        return Cause.QUEUED
+    if any(attempt.outcome == "Unsure" for attempt in attempts):
+        return Cause.ESCALATED
+    return Cause.SLOW if attempts else Cause.UNKNOWN
 
 
-def _find_fault(attempt: Attempt) -> Cause | None:
-    """Return the fault of an endpoint that an attempt met."""
+def _find_fault(attempt: AttemptFields) -> Cause | None:
+    """Return the endpoint fault that an attempt met, or None."""
     match attempt.outcome:
         case "Cut":
-            return Cause.DARK
+            return Cause.UNREACHABLE
         case "Lost" if "out of reach" in attempt.reason or "silent" in attempt.reason:
-            return Cause.DARK
+            return Cause.UNREACHABLE
         case "Lost":
-            return Cause.BROKEN
+            return Cause.CUT_OFF
         case "Failed":
             return Cause.FAILED
         case "NotRun":
-            return Cause.NOT_RUN
+            return Cause.REFUSED
     return None
 
 
-def _find_end(end: End) -> Cause:
-    """Return why a request was lost at whose endpoints nothing was wrong."""
+def _find_end_cause(end: EndFields) -> Cause:
+    """Return the cause of a lost request that met no endpoint fault."""
     match end:
-        case End(end="caller_gone"):
-            return Cause.LEFT
-        case End(reason="stopping"):
-            return Cause.STOPPED
-        case End(reason="no endpoint"):
+        case EndFields(end="caller_gone"):
+            return Cause.CALLER_LEFT
+        case EndFields(reason="stopping"):
+            return Cause.STOPPING
+        case EndFields(reason="no endpoint"):
             return Cause.NO_ENDPOINT
-        case End(reason="tried as often as allowed" | "retry budget spent"):
-            return Cause.REPEATED
-    return Cause.OTHER
+        case EndFields(reason="tried as often as allowed" | "retry budget spent"):
+            return Cause.NO_RETRY
+    return Cause.UNKNOWN
--- a/eelgrassrack/metrics.py
+++ b/eelgrassrack/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd, and the one table of their names, units and meanings."""
+"""The metrics sent to statsd and the table of their names, units and meanings."""
 
 import enum
 import time
@@ -18,11 +18,11 @@
 
 
 class MetricsError(EelgrassrackError):
-    """A metric was used in another way than the table says."""
+    """A metric was used with the wrong kind, or with a wrong or missing label."""
 
 
 class Kind(enum.Enum):
-    """What statsd makes of a metric."""
+    """The statsd type of a metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -30,7 +30,11 @@
 
 
 class Metric(msgspec.Struct, kw_only=True, frozen=True):
-    """One metric.  With `labelled` its name goes on with a dot and a label."""
+    """One metric.
+
+    `labelled` names the kind of label that is appended to the name after a dot; if it
+    is empty, the metric has no label.
+    """
 
     name: str
     kind: Kind
@@ -54,7 +58,7 @@
 
 
 REQUESTS = _count("entry.requests", "requests", "Requests that arrived.")
-ANSWERED = _count("entry.answered", "requests", "Requests answered whole.")
+ANSWERED = _count("entry.answered", "requests", "Requests answered completely.")
 REFUSED = _count("entry.refused", "requests", "Requests refused.", "reason")
 FAILED = _count(
     "entry.failed", "requests", "Requests that failed after they ran.", "reason"
@@ -63,10 +67,12 @@
 ESCALATIONS = _count("entry.escalations", "rungs", "Cascade rungs climbed for quality.")
 TOKENS = _count("entry.tokens", "tokens", "Tokens relayed to callers.")
 BILLS = _count("entry.bills", "bills", "Bills written to the ledger.")
-IN_FLIGHT = _gauge("entry.in_flight", "requests", "Requests under way.")
-ENTRY_REVISION = _gauge("entry.revision", "revision", "Document in force.")
-FIRST_TOKEN = _timer("entry.first_token", "From arrival to the first token.")
-DURATION = _timer("entry.duration", "From arrival to the end of the answer.")
+IN_FLIGHT = _gauge("entry.in_flight", "requests", "Requests in flight.")
+ENTRY_REVISION = _gauge(
+    "entry.revision", "revision", "Revision of the document in force."
+)
+FIRST_TOKEN = _timer("entry.first_token", "Time from arrival to the first token.")
+DURATION = _timer("entry.duration", "Time from arrival to the end of the answer.")
 PLATFORM_CALLS = _count("platform.calls", "calls", "Calls to the object API.", "call")
 PLATFORM_UNAVAILABLE = _count(
     "platform.unavailable", "calls", "Calls that got no usable answer."
@@ -74,16 +80,23 @@
 PLATFORM_TIME = _timer("platform.time", "Duration of a call to the object API.")
 STARTED = _count("agent.started", "attempts", "Attempts started on the endpoint.")
 NOT_STARTED = _count(
-    "agent.not_started", "attempts", "Attempts that never start.", "reason"
+    "agent.not_started", "attempts", "Attempts that were never started.", "reason"
+)
+ENDED = _count("agent.ended", "attempts", "Started attempts that ended.", "finish")
+CRASHES = _count("agent.crashes", "crashes", "Crashes of the endpoint.")
+WINDOW = _gauge(
+    "agent.window", "requests", "Maximum concurrent requests on the endpoint."
 )
-ENDED = _count("agent.ended", "attempts", "Started attempts by their end.", "finish")
-CRASHES = _count("agent.crashes", "crashes", "Endpoint crashes seen.")
-WINDOW = _gauge("agent.window", "requests", "What the endpoint bears at once.")
 RUNNING = _gauge("agent.running", "requests", "Requests running on the endpoint.")
 QUEUED = _gauge("agent.queued", "requests", "Requests waiting for the endpoint.")
-AGENT_REVISION = _gauge("agent.revision", "revision", "Document in force.")
+AGENT_REVISION = _gauge(
+    "agent.revision", "revision", "Revision of the document in force."
+)
 BROKEN = _count(
-    "invariants.broken", "checks", "Promises found broken; must stay 0.", "promise"
+    "invariants.broken",
+    "checks",
+    "Checks that found a broken promise; must stay 0.",
+    "promise",
 )
 RESTARTS = _count(
     "supervisor.restarts", "restarts", "Tasks restarted after an error.", "task"
@@ -95,11 +108,11 @@
 
 
 class Metrics:
-    """Send metrics to statsd, or nowhere when no host is set.
+    """Sends metrics to statsd, or discards them if no host is set.
 
-    Sending is one UDP datagram on a socket that doesn't block.  When the
-    socket's buffer is full the datagram is dropped: a lost metric costs
-    less than a caller's wait.
+    Each metric is one UDP datagram on a non-blocking socket.  If the socket's buffer
+    is full, the datagram is dropped, because a lost metric costs less than a
+    delayed request.
     """
 
     __slots__ = ("_client", "_clock")
@@ -114,24 +127,24 @@
         self._client = _make_client(settings) if settings.host else None
 
     def count(self, metric: Metric, amount: int = 1, *, label: str = "") -> None:
-        """Add to a counter."""
+        """Add `amount` to a counter; raise `MetricsError` if it is none."""
         if self._client:
             self._client.incr(_name(metric, Kind.COUNTER, label), amount)
 
     def gauge(self, metric: Metric, value: float, *, label: str = "") -> None:
-        """Set a gauge."""
+        """Set a gauge; raise `MetricsError` if it is none."""
         if self._client:
             self._client.gauge(_name(metric, Kind.GAUGE, label), value)
 
     def time(self, metric: Metric, seconds: float, *, label: str = "") -> None:
-        """Report a duration."""
+        """Report a duration; raise `MetricsError` if the metric is no timer."""
         if self._client:
             milliseconds = seconds * MILLISECONDS
             self._client.timing(_name(metric, Kind.TIMER, label), milliseconds)
 
     @contextmanager
     def measure(self, metric: Metric, *, label: str = "") -> Iterator[None]:
-        """Report how long the block took, whether or not it raised."""
+        """Report the duration of the block, also if it raises."""
         started = self._clock()
         try:
             yield
@@ -139,14 +152,14 @@
             self.time(metric, self._clock() - started, label=label)
 
     def close(self) -> None:
-        """Close the socket; what follows is sent nowhere."""
+        """Close the socket; later metrics are discarded."""
         if self._client:
             self._client.close()
             self._client = None
 
 
 def format_page() -> str:
-    """Return the page docs/METRICS.md."""
+    """Return the text of docs/METRICS.md."""
     rows = (
         f"| `{metric.name}{f'.{metric.labelled.upper()}' if metric.labelled else ''}` "
         f"| {metric.kind.value} | {metric.unit} | {metric.meaning} |"
@@ -169,21 +182,25 @@
 
 
 def _make_client(settings: MetricSettings) -> statsd.StatsClient | None:
-    """Return a client whose socket doesn't block."""
+    """Return a client with a non-blocking socket, or None if it can't be made."""
     try:
         client = statsd.StatsClient(settings.host, settings.port, settings.prefix)
     except OSError as error:
-        log.warning("metrics: none sent: {}: {}", settings.host, error)
+        log.warning("metrics: no metrics are sent: {}: {}", settings.host, error)
         return None
     client._sock.setblocking(False)
     return client
 
 
 def _name(metric: Metric, kind: Kind, label: str) -> str:
-    """Return the name to send; a label must not add parts to it."""
+    """Return the name to send, with dots and other separators in the label replaced.
+
+    Raise `MetricsError` if the metric has another kind, or the label is wrongly
+    present or missing.
+    """
     if metric.kind is not kind or bool(label) != bool(metric.labelled):
         raise MetricsError(f"{metric.name} is a {metric.kind.value}")
     if not label:
         return metric.name
-    clean = "".join(char if char.isalnum() else "_" for char in label)
-    return f"{metric.name}.{clean}"
+    safe_label = "".join(char if char.isalnum() else "_" for char in label)
+    return f"{metric.name}.{safe_label}"
--- a/eelgrassrack/pages.py
+++ b/eelgrassrack/pages.py
@@ -1,7 +1,7 @@
-"""The pages under docs/ that are made from tables in the code.
+"""Generates the pages under docs/ that document tables in the code.
 
-`python -m eelgrassrack.pages` writes them anew; a test asserts that the
-committed pages equal them.
+`python -m eelgrassrack.pages` writes the pages; a test checks that the committed
+pages are up to date.
 """
 
 import pathlib
@@ -17,40 +17,40 @@
 INTRODUCTION = """\
 # Configuration
 
-Made from the tables in `eelgrassrack/document/tables/` and
-`eelgrassrack/settings.py` by `python -m eelgrassrack.pages`; the same tables
-check what operators write.
+Generated from the tables in `eelgrassrack/document/tables/` and
+`eelgrassrack/settings.py` by `python -m eelgrassrack.pages`. The same tables validate
+the files.
 
-All files are INI: `[kind]` or `[kind name]` alone on a line at the left margin,
+All files are INI: `[kind]` or `[kind name]` on a line of its own without indentation,
 then `key = value`. An indented line continues the value above it. Lists are
-comma-separated. Lines that start with `#` or `;` are comments. Unknown sections
-and keys, and ones that stand twice, are faults. `eelgrassrack check FILE` prints
-one line for each fault: file, line, section, key, value and what is allowed.
-Values that may be secrets are never printed.
+comma-separated. Lines that start with `#` or `;` are comments. Unknown and duplicate
+sections and keys are faults. `eelgrassrack check FILE` prints one line for each fault:
+file, line, section, key, value and what is allowed. Values that may be secrets are
+never printed.
 """
 
 DOCUMENT_HEADING = """\
 ## The document
 
-One text for all teams; `eelgrassrack apply` changes a team's own sections of it.
-Between sections it is checked that: a version's model, a cascade's rungs, what an
-organisation may use and what a pool serves exist; no model, alias and cascade share
-a name; no two organisations share a key; each model with active versions has one of
-weight above 0; `cold_concurrency` is at most `concurrency`, and `default_deadline`
-at most `longest_deadline`.
+All teams share one document; `eelgrassrack apply` changes the sections that a team
+owns. These rules hold between sections: the model of a version, the rungs of a
+cascade, what an organisation may use and what a pool serves exist; models, aliases and
+cascades have different names; no two organisations share a key; each model with active
+versions has one with a weight above 0; `cold_concurrency` is at most `concurrency`, and
+`default_deadline` at most `longest_deadline`.
 """
 
 SETTINGS_HEADING = """\
 ## Settings of the daemons
 
-A file for one daemon holds its `[entry]`, `[agent]` or `[gateway]` section, and may
-hold `[log]` and `[metrics]`. The platform makes a gateway's file from its own fields
-by `eelgrassrack/platform/entry.ini`.
+The settings file of a daemon has an `[entry]`, `[agent]` or `[gateway]` section and may
+have `[log]` and `[metrics]` sections. The platform generates a gateway's file from its
+own fields with the template `eelgrassrack/platform/entry.ini`.
 """
 
 
 def format_configuration() -> str:
-    """Return the page docs/CONFIGURATION.md."""
+    """Return the text of docs/CONFIGURATION.md."""
     parts = [
         INTRODUCTION,
         DOCUMENT_HEADING,
@@ -62,7 +62,7 @@
 
 
 def write_pages(folder: pathlib.Path) -> None:
-    """Write every page into the folder."""
+    """Write all pages into the folder."""
     for name, text in make_pages():
         (folder / name).write_text(text, encoding="utf-8")
 
--- a/eelgrassrack/process.py
+++ b/eelgrassrack/process.py
@@ -1,4 +1,4 @@
-"""A daemon as a process of its own: its signals and exit status."""
+"""Runs a daemon as a process: handles its signals and sets its exit status."""
 
 import asyncio
 import signal
@@ -13,34 +13,36 @@
 
 
 class Daemon(Protocol):
-    """What an entry and an agent have in common."""
+    """The methods that `run_daemon` calls on an entry or an agent."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def stop(self) -> None:
         """Stop gracefully."""
 
     async def wait_failed(self) -> None:
-        """Wait until a part has failed too often, then raise."""
+        """Wait until a component has failed too often, then raise `SupervisorError`."""
 
     def skip_grace_period(self) -> None:
-        """End a stop that is under way at once."""
+        """Finish a graceful stop immediately."""
 
 
 async def run_daemon(daemon: Daemon) -> int:
-    """Run a daemon until SIGTERM or SIGINT; return the exit status."""
+    """Run a daemon until SIGTERM or SIGINT, or until it fails; return the exit status.
+
+    A second signal skips the rest of the grace period.
+    """
     stopping = asyncio.Event()
 
-    def take_signal() -> None:
-        # A second signal says that nobody waits for the grace to pass.
+    def handle_signal() -> None:
         if stopping.is_set():
             daemon.skip_grace_period()
         stopping.set()
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, take_signal)
+        loop.add_signal_handler(number, handle_signal)
     await daemon.start()
     status = await _wait_for_end(daemon, stopping)
     await daemon.stop()
@@ -48,7 +50,7 @@
 
 
 async def _wait_for_end(daemon: Daemon, stopping: asyncio.Event) -> int:
-    """Wait until the daemon is told to stop or gives up."""
+    """Wait for a signal or a failure; return the exit status."""
     loop = asyncio.get_running_loop()
     stopped = loop.create_task(stopping.wait())
     failed = loop.create_task(daemon.wait_failed())
--- a/eelgrassrack/requesttrace.py
+++ b/eelgrassrack/requesttrace.py
@@ -1,9 +1,9 @@
-"""What the gateways' logs say of one request, and of what surrounded it.
+"""Finds the gateways' log lines about one request, and related lines.
 
-A request's own lines tell which endpoints were tried and how each try ended.
-The cause often stands beside them: an endpoint that was gone or started again,
-other answers lost there, the store lost, the gateway stopping.  Lines of this
-kind are taken from some seconds around the request's own.
+The lines of the request itself show which endpoints were tried and how each attempt
+ended.  The cause is often in other lines: an endpoint disappeared or restarted, other
+requests lost answers there, the gateway lost the store or was stopping.  Such lines
+are included if they were logged within a few seconds of the request's lines.
 """
 
 import pathlib
@@ -14,15 +14,15 @@
 
 from .settings import read_text
 
-# Faults that end a request show within seconds before it, and an endpoint's
+# Faults that end a request are logged within seconds before it, and an endpoint's
 # entry is removed a few seconds after its crash.
 BEFORE_SECONDS = 10.0
 AFTER_SECONDS = 5.0
 
-# Parts whose lines tell of the gateway as a whole.
-WHOLE_PARTS = ("gateway:", "store:", "rollout:")
+# Prefixes of lines that concern all requests of a gateway.
+GATEWAY_PREFIXES = ("gateway:", "store:", "rollout:")
 
-# Endpoints in a request's lines: "at NAME VERSION" and "by NAME,NAME after".
+# Endpoint names in a request's lines: "at NAME VERSION" and "by NAME,NAME after".
 AT_ENDPOINT = re.compile(r" at (\S+) ")
 BY_ENDPOINTS = re.compile(r" by (\S+) after ")
 
@@ -39,51 +39,52 @@
 
 
 class Trace(msgspec.Struct, kw_only=True, frozen=True):
-    """A request's lines and those beside them, in the order of time.
+    """The log lines of a request and the related lines, in the order they were read.
 
-    `unread` counts lines that are no log lines, such as a last one that was cut.
+    `unread` is the number of lines that could not be decoded, such as a truncated
+    last line.
     """
 
     request: str
     endpoints: tuple[str, ...]
     own: tuple[LogLine, ...]
-    beside: tuple[LogLine, ...]
+    related: tuple[LogLine, ...] = msgspec.field(name="beside")
     unread: int
 
     def list_all(self) -> list[LogLine]:
-        """Return all lines in the order of time."""
-        return sorted((*self.own, *self.beside), key=lambda one: one.time)
+        """Return all lines ordered by time."""
+        return sorted((*self.own, *self.related), key=lambda line: line.time)
 
 
 def read_files(paths: Iterable[pathlib.Path]) -> tuple[list[LogLine], int]:
-    """Return all files' log lines, and how many lines are none."""
+    """Return the log lines of all files and the number of undecodable lines."""
     read = [read_lines(read_text(path), file=path.name) for path in paths]
     lines = [line for found, _ in read for line in found]
     return lines, sum(unread for _, unread in read)
 
 
 def read_lines(text: str, *, file: str) -> tuple[list[LogLine], int]:
-    """Return a file's log lines, and how many lines are none."""
+    """Return the log lines of one file and the number of undecodable lines."""
     read = [_read_line(line, file) for line in text.splitlines() if line.strip()]
     found = [line for line in read if line is not None]
     return found, len(read) - len(found)
 
 
 def trace_request(request: str, *, lines: Iterable[LogLine], unread: int = 0) -> Trace:
-    """Return what log lines say of a request and of its surroundings."""
+    """Return the lines that name the request and the lines related to it."""
     lines = list(lines)
     named = re.compile(rf"\b{re.escape(request)}\b")
     own = [line for line in lines if named.search(line.message)]
     endpoints = tuple(dict.fromkeys(_list_endpoints(own)))
     files = {line.file for line in own}
     times = [line.time for line in own]
-    beside = (
+    related = (
         [
             line
             for line in lines
             if line not in own
             and times[0] - BEFORE_SECONDS <= line.time <= times[-1] + AFTER_SECONDS
-            and _is_beside(line, files, endpoints)
+            and _is_related(line, files, endpoints)
         ]
         if own
         else []
@@ -92,7 +93,7 @@
         request=request,
         endpoints=endpoints,
         own=tuple(own),
-        beside=tuple(beside),
+        related=tuple(related),
         unread=unread,
     )
 
@@ -112,11 +113,11 @@
             yield from names.split(",")
 
 
-def _is_beside(line: LogLine, files: set[str], endpoints: tuple[str, ...]) -> bool:
-    """Tell whether a line is of the request's gateway or of its endpoints."""
-    if line.file in files and line.message.startswith(WHOLE_PARTS):
+def _is_related(line: LogLine, files: set[str], endpoints: tuple[str, ...]) -> bool:
+    """Return whether a line concerns the request's gateway or one of its endpoints."""
+    if line.file in files and line.message.startswith(GATEWAY_PREFIXES):
         return True
     if line.message.startswith("fleet:"):
         return line.file in files and any(name in line.message for name in endpoints)
-    # Answers that others lost at the same endpoint.
+    # Attempts of other requests at the same endpoint, such as answers lost there.
     return any(f" at {name} " in line.message for name in endpoints)
--- a/eelgrassrack/settings.py
+++ b/eelgrassrack/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons: what one process needs to know to start."""
+"""Settings of the daemons, read from one INI file for each process."""
 
 import pathlib
 
@@ -14,14 +14,14 @@
 
 
 class LogSettings(msgspec.Struct, kw_only=True, frozen=True):
-    """How to log: `format` is `text` or `json`, `level` as logbook names it."""
+    """Log settings: `format` is `text` or `json`, `level` a logbook level name."""
 
     format: str = "text"
     level: str = "info"
 
 
 class MetricSettings(msgspec.Struct, kw_only=True, frozen=True):
-    """Where statsd listens; with an empty host nothing is sent."""
+    """Address of statsd; if the host is empty, no metrics are sent."""
 
     host: str = ""
     port: int = 8125
@@ -31,8 +31,8 @@
 class EntrySettings(msgspec.Struct, kw_only=True, frozen=True):
     """Settings of one entry daemon.
 
-    `listen` is `IP:PORT` for callers, `mailbox` is `tcp://IP:PORT` for
-    agents and other entries.  URLs have no slash at the end.
+    `listen` is the `IP:PORT` for callers and `mailbox` the `tcp://IP:PORT` for
+    agents and other entries.  URLs have no trailing slash.
     """
 
     name: str
@@ -53,8 +53,7 @@
 class AgentSettings(msgspec.Struct, kw_only=True, frozen=True):
     """Settings of one agent daemon.
 
-    `endpoint_url` is the endpoint's own HTTP address, which nothing but
-    this agent uses.
+    `endpoint_url` is the endpoint's HTTP address, which only this agent uses.
     """
 
     name: str
@@ -89,9 +88,9 @@
 _SECONDS = Number(low=0, high=3600)
 
 COMMON_KEYS = (
-    Key(name="name", check=NAME, meaning="The instance's name."),
-    Key(name="domain", check=NAME, meaning="Failure domain that it lies in."),
-    Key(name="region", check=NAME, meaning="Region that it lies in."),
+    Key(name="name", check=NAME, meaning="Name of the instance."),
+    Key(name="domain", check=NAME, meaning="Failure domain of the instance."),
+    Key(name="region", check=NAME, meaning="Region of the instance."),
     Key(
         name="mailbox",
         check=MAILBOX,
@@ -100,25 +99,25 @@
     Key(
         name="instances_url",
         check=URL,
-        meaning="The platform's instance list.",
+        meaning="URL of the platform's instance list.",
     ),
     Key(
         name="grace_seconds",
         check=_SECONDS,
         unit="s",
-        meaning="Longest wait for requests under way after SIGTERM.",
+        meaning="Maximum wait for requests in flight after SIGTERM.",
     ),
     Key(
         name="lag_seconds",
         check=_SECONDS,
         unit="s",
-        meaning="How long the balancer and the instance list may still send work "
-        "after readiness has failed.",
+        meaning="How long the load balancer and the instance list may keep sending "
+        "work after readiness has failed.",
     ),
     Key(
         name="check_invariants",
         check=Flag(),
-        meaning="Whether promises are checked inside the program.",
+        meaning="Whether the daemon checks its promises at run time.",
     ),
 )
 
@@ -130,12 +129,12 @@
         Key(
             name="format",
             check=OneOf(options=("text", "json")),
-            meaning="Text for people or one JSON object a line.",
+            meaning="Plain text, or one JSON object per line.",
         ),
         Key(
             name="level",
             check=OneOf(options=LEVELS),
-            meaning="Least level that is logged.",
+            meaning="Lowest level that is logged.",
         ),
     ),
 )
@@ -148,16 +147,14 @@
         Key(
             name="host",
             check=HOST,
-            meaning="Where statsd listens; without it nothing is sent.",
+            meaning="Host of statsd; if it is empty, no metrics are sent.",
         ),
         Key(
             name="port",
             check=Number(low=1, high=65_535, whole=True),
             meaning="UDP port of statsd.",
         ),
-        Key(
-            name="prefix", check=PREFIX, meaning="What each metric's name starts with."
-        ),
+        Key(name="prefix", check=PREFIX, meaning="Prefix of all metric names."),
     ),
 )
 
@@ -168,11 +165,11 @@
     keys=(
         *COMMON_KEYS,
         Key(name="listen", check=ADDRESS, meaning="Address for callers."),
-        Key(name="objects_url", check=URL, meaning="The platform's object API."),
+        Key(name="objects_url", check=URL, meaning="URL of the platform's object API."),
         Key(
             name="rating_url",
             check=OPTIONAL_URL,
-            meaning="The rating service; without it no answer is rated.",
+            meaning="URL of the rating service; without it no answer is rated.",
         ),
     ),
 )
@@ -183,29 +180,33 @@
     meaning="Settings of `eelgrassrack agent`.",
     keys=(
         *COMMON_KEYS,
-        Key(name="pool", check=NAME, meaning="The document's pool of its endpoint."),
+        Key(
+            name="pool",
+            check=NAME,
+            meaning="The endpoint's pool, as named in the document.",
+        ),
         Key(
             name="endpoint_url",
             check=URL,
-            meaning="The endpoint's own address, used by nothing but this agent.",
+            meaning="URL of the endpoint, used only by this agent.",
         ),
         Key(
             name="objects_url",
             check=OPTIONAL_URL,
-            meaning="The platform's object API, for bills that no entry took"
-            " before a stop; without it they are lost then.",
+            meaning="URL of the platform's object API, to which a stopping agent writes"
+            " the bills that no entry has taken; without it they are lost.",
         ),
     ),
 )
 
 
 def read_entry_settings(path: str | pathlib.Path) -> EntrySettings:
-    """Return an entry's settings; raise a `UserError` with every fault."""
+    """Return an entry's settings; raise a `UserError` that lists all faults."""
     return _read_settings(pathlib.Path(path), ENTRY)
 
 
 def read_agent_settings(path: str | pathlib.Path) -> AgentSettings:
-    """Return an agent's settings; raise a `UserError` with every fault."""
+    """Return an agent's settings; raise a `UserError` that lists all faults."""
     return _read_settings(pathlib.Path(path), AGENT)
 
 
@@ -222,9 +223,9 @@
 def read_section_and_log(
     path: pathlib.Path, main: SectionKind
 ) -> tuple[dict[str, object], LogSettings]:
-    """Return a settings file's main values and how to log.
+    """Return the values of a file's main section and its log settings.
 
-    Raise a `UserError` with every fault.
+    Raise a `UserError` that lists all faults.
     """
     values = _read_values(path, main)
     return values[main.kind], LogSettings(**values.get(LOG.kind, {}))
@@ -242,7 +243,7 @@
 
 
 def _read_values(path: pathlib.Path, main: SectionKind) -> dict[str, dict]:
-    """Return the values of each section; raise a `UserError` with every fault."""
+    """Return the values by section; raise a `UserError` that lists all faults."""
     file = str(path)
     scan = scan_text(read_text(path), file=file)
     readings, faults = read_sections(scan.sections, (main, LOG, METRICS), file=file)
--- a/eelgrassrack/statuses.py
+++ b/eelgrassrack/statuses.py
@@ -1,12 +1,13 @@
-"""What an entry answers to `GET /status`, for operators' commands."""
+"""The body of an entry's answer to `GET /status`, for operators' commands."""
 
 import msgspec
 
 
 class EndpointStatus(msgspec.Struct, kw_only=True, frozen=True):
-    """An endpoint as one entry sees it; `age` is that of its last report in s.
+    """An endpoint as one entry sees it.
 
-    `revision` is the document in force at its agent, if the entry knows.
+    `age` is the age of its last report in seconds.  `revision` is the revision of the
+    document in force at its agent, or None if the entry doesn't know it.
     """
 
     name: str
@@ -24,7 +25,7 @@
 
 
 class VersionStatus(msgspec.Struct, kw_only=True, frozen=True):
-    """A version's planned weight, its present share of the work, and why."""
+    """A version's planned weight, its current share of the work, and the reason."""
 
     name: str
     state: str
@@ -34,10 +35,10 @@
 
 
 class EntryStatus(msgspec.Struct, kw_only=True, frozen=True):
-    """One entry's view.
+    """The status of one entry.
 
-    `counts` counts what was refused, by reason, and callers that went
-    away; `broken_promises` must stay empty.
+    `counts` holds the number of refused requests by reason, and the number of callers
+    that disconnected.  `broken_promises` must stay empty.
     """
 
     name: str
--- a/eelgrassrack/supervisor.py
+++ b/eelgrassrack/supervisor.py
@@ -1,10 +1,9 @@
-"""A tree of supervised tasks.
+"""Supervision trees of asyncio tasks.
 
-A supervisor runs tasks on the loop and starts a failed one again, with a
-growing delay.  One that fails too often in a short time takes its
-supervisor down, which its parent then sees as a failed task: a fault
-that starting again doesn't mend must end the process loudly and not
-leave it serving with a part missing.
+A supervisor restarts failed tasks with exponential backoff.  If a task fails too often
+in a short time, its supervisor fails too, and the parent sees this as a failed task.
+An error that a restart doesn't fix must end the process visibly, because otherwise it
+would keep serving with a component missing.
 """
 
 import asyncio
@@ -19,13 +18,13 @@
 
 Job = Callable[[], Awaitable[None]]
 
-FIRST_DELAY = 0.05
-LONGEST_DELAY = 2.0
+FIRST_DELAY_SECONDS = 0.05
+MAX_DELAY_SECONDS = 2.0
 
-# A task that fails this often within the window won't be mended by trying
-# once more.  Tasks handle outages themselves, so any failure is a fault.
-MOST_FAILURES = 8
-FAILURE_WINDOW = 30.0
+# A task that fails this often within the window won't recover by another restart.
+# Tasks handle outages themselves, so every failure is a bug.
+MAX_FAILURES = 8
+FAILURE_WINDOW_SECONDS = 30.0
 
 
 class SupervisorError(EelgrassrackError):
@@ -33,7 +32,10 @@
 
 
 class Supervisor:
-    """Run named tasks until they end or one fails too often."""
+    """Runs named tasks until they end or one of them fails too often.
+
+    `failures` counts the failures of each task.
+    """
 
     __slots__ = ("_failed", "_tasks", "failures", "name")
 
@@ -44,7 +46,7 @@
         self._failed: asyncio.Future[None] | None = None
 
     def start(self, *, name: str, job: Job) -> None:
-        """Start a task; it ends when its job returns."""
+        """Start a task that runs `job` until it returns and restarts it on failure."""
         if self._failed is None:
             self._failed = asyncio.get_running_loop().create_future()
         task = asyncio.create_task(self._keep_running(name, job), name=name)
@@ -56,16 +58,13 @@
         self.start(name=child.name, job=child.wait_failed)
 
     async def wait_failed(self) -> None:
-        """Wait until a task has failed too often, then raise.
-
-        Raise `SupervisorError`.
-        """
+        """Wait until a task has failed too often, then raise `SupervisorError`."""
         if self._failed is None:
             self._failed = asyncio.get_running_loop().create_future()
         await asyncio.shield(self._failed)
 
     async def stop(self) -> None:
-        """Cancel all tasks and wait for their ends."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = tuple(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -75,8 +74,8 @@
 
     async def _keep_running(self, name: str, job: Job) -> None:
         clock = asyncio.get_running_loop().time
-        failed_at: collections.deque[float] = collections.deque(maxlen=MOST_FAILURES)
-        delay = FIRST_DELAY
+        failed_at: collections.deque[float] = collections.deque(maxlen=MAX_FAILURES)
+        delay = FIRST_DELAY_SECONDS
         while True:
             started_at = clock()
             try:
@@ -91,17 +90,19 @@
             if self._fails_too_often(failed_at):
                 self._give_up(name)
                 return
-            if clock() - started_at > FAILURE_WINDOW:
-                delay = FIRST_DELAY
+            if clock() - started_at > FAILURE_WINDOW_SECONDS:
+                delay = FIRST_DELAY_SECONDS
             await asyncio.sleep(delay)
-            delay = min(delay * 2, LONGEST_DELAY)
+            delay = min(delay * 2, MAX_DELAY_SECONDS)
 
     def _fails_too_often(self, failed_at: collections.deque[float]) -> bool:
-        is_full = len(failed_at) == MOST_FAILURES
-        return is_full and failed_at[-1] - failed_at[0] < FAILURE_WINDOW
+        is_full = len(failed_at) == MAX_FAILURES
+        return is_full and failed_at[-1] - failed_at[0] < FAILURE_WINDOW_SECONDS
 
     def _give_up(self, name: str) -> None:
         log.critical("supervisor: {} gives up on {}", self.name, name)
         if not self._failed.done():
-            text = f"{name} failed {MOST_FAILURES} times in {FAILURE_WINDOW:.0f} s"
+            text = (
+                f"{name} failed {MAX_FAILURES} times in {FAILURE_WINDOW_SECONDS:.0f} s"
+            )
             self._failed.set_exception(SupervisorError(text))
--- a/test/__init__.py
+++ b/test/__init__.py
@@ -1,1 +1,1 @@
-"""The tests; their layout mirrors the package."""
+"""The tests, laid out like the package."""
--- a/test/test_invariants.py
+++ b/test/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests of the invariants' two ways of reporting."""
+"""Tests of strict and lenient invariant checks."""
 
 import pytest
 
--- a/test/test_logs.py
+++ b/test/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the log formats and of the request id in each record."""
+"""Tests of the log formats and of the request id in log records."""
 
 import asyncio
 import io
--- a/test/test_metrics.py
+++ b/test/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics, against a real UDP socket."""
+"""Tests of the metrics with a real UDP socket."""
 
 import socket
 
@@ -56,16 +56,16 @@
 
 
 def test_a_full_socket_does_not_block(listener):
-    """The metrics host stops reading, as when it is overloaded.
+    """The metrics host is overloaded and stops reading.
 
-    Without a socket that doesn't block every request would wait for it.
+    With a blocking socket every request would wait for it.
     """
     metrics = make_metrics(listener)
     assert metrics._client._sock.getblocking() is False
     metrics.close()
 
 
-def test_metrics_are_used_as_the_table_says(listener):
+def test_wrong_use_raises(listener):
     metrics = make_metrics(listener)
     with pytest.raises(MetricsError):
         metrics.gauge(REQUESTS, 1)
--- a/test/test_pages.py
+++ b/test/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the committed pages equal the tables they are made from."""
+"""Tests that the committed pages match the tables they are generated from."""
 
 import pathlib
 
--- a/test/test_requesttrace.py
+++ b/test/test_requesttrace.py
@@ -1,4 +1,4 @@
-"""Tests of what logs say of one request."""
+"""Tests of tracing one request in log files."""
 
 import json
 
@@ -42,16 +42,16 @@
     return trace_request(request, lines=lines)
 
 
-def test_a_request_s_own_lines_are_found_and_no_other_s():
+def test_only_the_lines_of_the_request_are_its_own():
     found = trace((*OWN, *OTHERS))
     assert [line.message for line in found.own] == [message for _, message in OWN]
     assert found.endpoints == ("e1",)
 
 
-def test_its_gateway_and_its_endpoints_stand_beside():
-    """The endpoint was gone a second later, and the store was away."""
+def test_lines_of_its_gateway_and_its_endpoints_are_related():
+    """The endpoint disappeared a second later, and the store was unreachable."""
     found = trace((*OWN, *OTHERS))
-    assert [line.message for line in found.beside] == [
+    assert [line.message for line in found.related] == [
         "store: lost: config status 503",
         "fleet: e1 is gone: removed",
     ]
@@ -59,14 +59,14 @@
     assert times == sorted(times)
 
 
-def test_losses_of_others_at_the_same_endpoint_stand_beside():
+def test_lost_answers_of_others_at_the_same_endpoint_are_related():
     """Several gateways lost answers at one endpoint within seconds."""
     other = "serving: attempt 1 of zzz at e1 v1: Lost: reset"
     found = trace(OWN, ((99.0, other), (99.0, "store: lost: elsewhere")))
-    assert [line.message for line in found.beside] == [other]
+    assert [line.message for line in found.related] == [other]
 
 
-def test_a_line_that_was_cut_is_counted():
+def test_a_truncated_line_is_counted():
     lines, unread = read_lines(make_log(OWN) + '{"time": 1', file="g")
     assert len(lines) == 2
     assert unread == 1
@@ -86,13 +86,13 @@
     assert "  97.000 gateway.log store: lost" in printed
 
 
-def test_a_request_that_isn_t_there_is_said_so(tmp_path, capsys):
+def test_a_missing_request_is_reported(tmp_path, capsys):
     log = tmp_path / "gateway.log"
     log.write_text(make_log(OTHERS))
     assert main(["trace", "abc1", str(log)]) == REFUSED
     assert "not in these logs" in capsys.readouterr().out
 
 
-def test_a_log_that_can_t_be_read_is_one_line(tmp_path, capsys):
+def test_an_unreadable_log_is_reported_on_one_line(tmp_path, capsys):
     assert main(["trace", "abc1", str(tmp_path / "none.log")]) != OK
     assert capsys.readouterr().err.count("\n") == 1
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the daemons' settings: sound ones, and every fault at once."""
+"""Tests of the daemons' settings: valid files, and reports of all faults."""
 
 import pytest
 
@@ -48,7 +48,7 @@
     )
 
 
-def test_nothing_where_nothing_is_meant(path):
+def test_empty_optional_values(path):
     text = ENTRY.replace("host = 127.0.0.1", "host =")
     path.write_text(text.replace("check_invariants = no", "rating_url ="))
     settings = read_entry_settings(path)
@@ -95,7 +95,7 @@
     assert f"] {key}" in text or not key
 
 
-def test_every_fault_at_once(path):
+def test_all_faults_are_reported(path):
     path.write_text("[entry]\nname = a b\n[what]\n[agent]\n")
     with pytest.raises(UserError) as raised:
         read_entry_settings(path)
--- a/test/test_supervisor.py
+++ b/test/test_supervisor.py
@@ -9,10 +9,7 @@
 
 
 def test_a_failed_task_runs_again():
-    """A task fails once by a fault of its own.
-
-    It is started again, and what it was to do gets done.
-    """
+    """A task fails once; the supervisor restarts it, and it does its work."""
     runs = []
 
     async def job():
@@ -32,12 +29,12 @@
 
 
 def test_a_task_that_always_fails_ends_the_tree(monkeypatch):
-    """A task fails at every start.
+    """A task fails at each start.
 
-    The process ends with an error instead of serving with a part missing.
+    The process must end with an error instead of serving with a component missing.
     """
-    monkeypatch.setattr(module, "LONGEST_DELAY", 0.01)
-    monkeypatch.setattr(module, "FIRST_DELAY", 0.001)
+    monkeypatch.setattr(module, "MAX_DELAY_SECONDS", 0.01)
+    monkeypatch.setattr(module, "FIRST_DELAY_SECONDS", 0.001)
 
     async def job():
         raise RuntimeError("always")
