--- a/eelgrassrack/standins/__init__.py
+++ b/eelgrassrack/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, the engines and the services."""
+"""Stand-ins for the platform, engines and services, used by tests and the demo."""
--- a/eelgrassrack/standins/__main__.py
+++ b/eelgrassrack/standins/__main__.py
@@ -1,6 +1,6 @@
-"""The stand-ins as processes of their own.
+"""Runs a stand-in as a separate process.
 
-Each prints its addresses, one to a line, and runs until SIGTERM.
+Each process prints its addresses, one per line, and runs until SIGTERM.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 async def wait_for_signal() -> None:
-    """Wait until the process is told to stop."""
+    """Wait for SIGTERM or SIGINT."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -35,18 +35,20 @@
 
 
 def announce(name: str, url: str) -> None:
-    """Print where a stand-in listens."""
+    """Print the address of a stand-in."""
     print(f"{name} {url}", flush=True)
 
 
 @cappa.command(help="The object API, the instance list and the rating service.")
 @dataclass(kw_only=True, slots=True)
 class Platform:
-    """Arguments of `platform`; the three listen on ports in a row."""
+    """Arguments of `platform`; its three servers listen on consecutive ports."""
 
-    port: Annotated[int, cappa.Arg(long=True, help="First port; 0: any.")] = 0
+    port: Annotated[
+        int, cappa.Arg(long=True, help="First port; 0 picks free ports.")
+    ] = 0
     instances: Annotated[
-        str, cappa.Arg(long=True, help="A JSON file of the first instances.")
+        str, cappa.Arg(long=True, help="A JSON file with the initial instances.")
     ] = ""
 
     def __call__(self) -> int:
@@ -76,12 +78,18 @@
 @cappa.command(name="engine", help="A model engine.")
 @dataclass(kw_only=True, slots=True)
 class EngineProcess:
-    """Arguments of `engine`; what it was given is printed at its end."""
-
-    versions: Annotated[str, cappa.Arg(long=True, help="Versions, by commas.")]
-    port: Annotated[int, cappa.Arg(long=True, help="Port; 0: any.")] = 0
-    slots: Annotated[int, cappa.Arg(long=True, help="Requests at once.")] = 16
-    speed: Annotated[float, cappa.Arg(long=True, help="Tokens/s a stream.")] = 30.0
+    """Arguments of `engine`; it prints the requests it received when it stops."""
+
+    versions: Annotated[
+        str, cappa.Arg(long=True, help="Served versions, separated by commas.")
+    ]
+    port: Annotated[int, cappa.Arg(long=True, help="Port; 0 picks a free port.")] = 0
+    slots: Annotated[int, cappa.Arg(long=True, help="Maximum concurrent requests.")] = (
+        16
+    )
+    speed: Annotated[
+        float, cappa.Arg(long=True, help="Tokens per second per request.")
+    ] = 30.0
 
     def __call__(self) -> int:
         """Run until stopped."""
@@ -108,11 +116,13 @@
 class ServiceProcess:
     """Arguments of `service`."""
 
-    port: Annotated[int, cappa.Arg(long=True, help="Port; 0: any.")] = 0
-    delay: Annotated[float, cappa.Arg(long=True, help="Seconds an answer takes.")] = 0.0
+    port: Annotated[int, cappa.Arg(long=True, help="Port; 0 picks a free port.")] = 0
+    delay: Annotated[
+        float, cappa.Arg(long=True, help="Seconds before each answer.")
+    ] = 0.0
 
     def __call__(self) -> int:
-        """Run until stopped; print how often each key was run."""
+        """Run until stopped, then print the number of executions of each key."""
         asyncio.run(self._serve())
         return 0
 
@@ -130,7 +140,7 @@
 @cappa.command(name="eelgrassrack.standins", help="Stand-ins for trials and tests.")
 @dataclass(kw_only=True, slots=True)
 class Standins:
-    """The stand-ins that can run as processes."""
+    """The commands that run stand-ins as processes."""
 
     command: cappa.Subcommands[Platform | EngineProcess | ServiceProcess]
 
--- a/eelgrassrack/standins/batch.py
+++ b/eelgrassrack/standins/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching with limited slots and a bounded prefix cache."""
+"""Continuous batching with a limited number of slots and an LRU prefix cache."""
 
 import collections
 import heapq
@@ -9,19 +9,31 @@
 
 
 class Sink(Protocol):
-    """Where an answer's tokens go."""
+    """Receives the tokens of an answer."""
 
-    def take(self, *, token: str) -> None:
-        """Take the next token."""
+    def add_token(self, *, token: str) -> None:
+        """Receive the next token."""
 
-    def end(self) -> None:
-        """Learn that every token was taken."""
+    def finish_answer(self) -> None:
+        """Finish the answer after its last token."""
 
 
 class Generation:
-    """One request inside the engine, and how far its answer is."""
+    """One request inside the engine.
 
-    __slots__ = ("gone", "priority", "produced", "prompt", "ready_at", "sink", "tokens")
+    `produced` is the number of tokens emitted so far, `ready_at` the time when its
+    prompt has been read, and `removed` whether it has left the batch.
+    """
+
+    __slots__ = (
+        "priority",
+        "produced",
+        "prompt",
+        "ready_at",
+        "removed",
+        "sink",
+        "tokens",
+    )
 
     def __init__(
         self, *, prompt: str, tokens: list[str], sink: Sink, priority: int = 0
@@ -32,50 +44,53 @@
         self.priority = priority
         self.produced = 0
         self.ready_at = 0.0
-        self.gone = False
+        self.removed = False
 
     @property
     def is_done(self) -> bool:
-        """Tell whether every token has been emitted."""
+        """Return whether all tokens have been emitted."""
         return self.produced >= len(self.tokens)
 
 
 class PrefixCache:
-    """The prompt prefixes used last, in blocks of characters."""
+    """An LRU cache of prompt prefixes, counted in blocks of characters.
 
-    __slots__ = ("_blocks", "_most", "hits", "misses")
+    `hits` and `misses` count blocks.
+    """
 
-    def __init__(self, *, most: int) -> None:
+    __slots__ = ("_blocks", "_max_blocks", "hits", "misses")
+
+    def __init__(self, *, max_blocks: int) -> None:
         self._blocks: collections.OrderedDict[str, None] = collections.OrderedDict()
-        self._most = most
+        self._max_blocks = max_blocks
         self.hits = 0
         self.misses = 0
 
     def look_up(self, *, prompt: str) -> int:
-        """Return how many blocks of the prompt aren't cached, and cache them."""
+        """Cache all blocks of the prompt; return how many were not cached before."""
         ends = range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS)
         prefixes = [prompt[:end] for end in ends]
-        known = list(itertools.takewhile(self._blocks.__contains__, prefixes))
+        cached = list(itertools.takewhile(self._blocks.__contains__, prefixes))
         for prefix in prefixes:
             self._blocks[prefix] = None
             self._blocks.move_to_end(prefix)
-        while len(self._blocks) > self._most:
+        while len(self._blocks) > self._max_blocks:
             self._blocks.popitem(last=False)
-        missed = len(prefixes) - len(known)
-        self.hits += len(known)
+        missed = len(prefixes) - len(cached)
+        self.hits += len(cached)
         self.misses += missed
         return missed
 
     def clear(self) -> None:
-        """Forget every prefix."""
+        """Remove all prefixes."""
         self._blocks.clear()
 
 
 class Batch:
-    """The requests in an engine: some run, the others wait for a slot.
+    """The requests inside an engine, both running and waiting for a slot.
 
     `prefill_seconds` is the time to read one uncached block of a prompt.
-    Among waiting requests the lowest priority number runs first.
+    The waiting request with the lowest priority number runs first.
     """
 
     __slots__ = ("_serial", "_waiting", "cache", "prefill_seconds", "running", "slots")
@@ -85,14 +100,14 @@
     ) -> None:
         self.slots = slots
         self.prefill_seconds = prefill_seconds
-        self.cache = PrefixCache(most=cache_blocks)
+        self.cache = PrefixCache(max_blocks=cache_blocks)
         self.running: list[Generation] = []
         self._waiting: list[tuple[int, int, Generation]] = []
         self._serial = itertools.count()
 
     @property
     def waiting(self) -> int:
-        """Return how many requests have no slot yet."""
+        """Return how many requests wait for a slot."""
         return len(self._waiting)
 
     @property
@@ -106,7 +121,7 @@
         heapq.heappush(self._waiting, entry)
 
     def admit(self, *, now: float) -> list[Generation]:
-        """Give free slots to waiting requests and return these."""
+        """Give free slots to waiting requests and return these requests."""
         admitted = []
         while self._waiting and len(self.running) < self.slots:
             generation = heapq.heappop(self._waiting)[2]
@@ -117,34 +132,37 @@
         return admitted
 
     def step(self, *, now: float) -> list[Generation]:
-        """Emit one token for every running request; return the finished ones."""
+        """Emit one token for each request that is ready; return the finished ones."""
         ready = [each for each in self.running if each.ready_at <= now]
         for generation in ready:
             generation.produced += 1
-            generation.sink.take(token=generation.tokens[generation.produced - 1])
-        # A sink may have cancelled its request while it took the token.
-        ended = [each for each in ready if not each.gone and each.is_done]
+            generation.sink.add_token(token=generation.tokens[generation.produced - 1])
+        # A sink may cancel its request while it handles the token.
+        ended = [each for each in ready if not each.removed and each.is_done]
         for generation in ended:
             self.cancel(generation)
-            generation.sink.end()
+            generation.sink.finish_answer()
         return ended
 
     def cancel(self, generation: Generation) -> bool:
-        """Take a request out and free its slot; false if it was out already."""
-        if generation.gone:
+        """Remove a request and free its slot.
+
+        Return False if it was already removed.
+        """
+        if generation.removed:
             return False
-        generation.gone = True
+        generation.removed = True
         self.running = [each for each in self.running if each is not generation]
         self._waiting = [entry for entry in self._waiting if entry[2] is not generation]
         heapq.heapify(self._waiting)
         return True
 
     def clear(self) -> None:
-        """Lose every request and the cache."""
+        """Remove all requests and clear the cache, as a crash does."""
         for generation in self.running:
-            generation.gone = True
+            generation.removed = True
         for _, _, generation in self._waiting:
-            generation.gone = True
+            generation.removed = True
         self.running = []
         self._waiting = []
         self.cache.clear()
--- a/eelgrassrack/standins/caller.py
+++ b/eelgrassrack/standins/caller.py
@@ -1,7 +1,6 @@
-"""A caller of the usual language model API, for the demo and the tests.
+"""A client of the OpenAI-style chat API, for the demo and the tests.
 
-It is an ordinary HTTP client that reads an answer to its end and tells
-whether it is whole.
+It reads each answer to its end and checks whether it is complete.
 """
 
 from collections.abc import Callable
@@ -16,20 +15,20 @@
 from tornado.simple_httpclient import HTTPStreamClosedError, HTTPTimeoutError
 
 STREAM_END = "[DONE]"
-DATA = "data: "
+DATA_PREFIX = "data: "
 NO_ANSWER = 0
 
-# What tornado calls a connection that broke.
-CONNECTION_BROKE = 599
+# Tornado's status code for a broken connection.
+BROKEN_CONNECTION = 599
 CALL_SECONDS = 60.0
 
 
 class CallAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """What a caller got.
+    """The response that a caller received.
 
-    `status` is zero when the connection broke.  `is_whole` tells whether
-    the text is a whole answer; `run`, `request`, `version` and
-    `retry_after` are the response headers.
+    `status` is 0 if the connection broke.  `is_whole` is whether the text is a
+    complete answer.  `run`, `request`, `version`, `token` and `retry_after` are the
+    values of response headers, and `code` is the error code in the body.
     """
 
     status: int
@@ -45,17 +44,17 @@
 
 
 class AnswerText(msgspec.Struct, kw_only=True, frozen=True):
-    """The text of an answer, and whether it is whole."""
+    """The text of an answer, and whether it is complete."""
 
     text: str = ""
     is_whole: bool = False
 
 
-Read = Callable[[bytes], AnswerText]
+ReadText = Callable[[bytes], AnswerText]
 
 
 class Caller:
-    """One organisation's client."""
+    """A client with the API key of one organisation."""
 
     def __init__(self, *, key: str) -> None:
         self._client = AsyncHTTPClient(force_instance=True, max_clients=2000)
@@ -76,7 +75,10 @@
         fields: dict[str, str] | None = None,
         timeout: float = CALL_SECONDS,
     ) -> CallAnswer:
-        """Send a chat request and read its answer to the end."""
+        """Send a chat request and read the complete answer.
+
+        `timeout` is in seconds.
+        """
         body = msgspec.json.encode(
             {
                 "model": model,
@@ -101,9 +103,12 @@
         body: bytes | None = None,
         fields: dict[str, str] | None = None,
         timeout: float = CALL_SECONDS,
-        read: Read | None = None,
+        read: ReadText | None = None,
     ) -> CallAnswer:
-        """Send any request; `read` takes the text out of a good answer."""
+        """Send any request; `read` extracts the text from the body of a 200 response.
+
+        `timeout` is in seconds.
+        """
         request = HTTPRequest(
             url,
             method=method,
@@ -121,34 +126,36 @@
             response = await self._client.fetch(request, raise_error=False)
         except (HTTPStreamClosedError, HTTPTimeoutError, HTTPClientError, OSError):
             return CallAnswer(status=NO_ANSWER)
-        if response.code == CONNECTION_BROKE:
+        if response.code == BROKEN_CONNECTION:
             return CallAnswer(status=NO_ANSWER)
         return _read_response(response, read or read_any)
 
 
-def _read_response(response: HTTPResponse, read: Read) -> CallAnswer:
-    found = response.headers.get
+def _read_response(response: HTTPResponse, read: ReadText) -> CallAnswer:
+    get_header = response.headers.get
     body = response.body or b""
-    is_good = response.code == 200
-    answer = read(body) if is_good else AnswerText()
+    is_success = response.code == 200
+    answer = read(body) if is_success else AnswerText()
     return CallAnswer(
         status=response.code,
         text=answer.text,
         is_whole=answer.is_whole,
-        run=found("Eelgrassrack-Run", ""),
-        request=found("Eelgrassrack-Request", ""),
-        version=found("Eelgrassrack-Version", ""),
-        token=found("Eelgrassrack-Session-Token", ""),
-        retry_after=found("Retry-After", ""),
-        code="" if is_good else _read_code(body),
+        run=get_header("Eelgrassrack-Run", ""),
+        request=get_header("Eelgrassrack-Request", ""),
+        version=get_header("Eelgrassrack-Version", ""),
+        token=get_header("Eelgrassrack-Session-Token", ""),
+        retry_after=get_header("Retry-After", ""),
+        code="" if is_success else _read_code(body),
         body=body,
     )
 
 
 def read_stream(body: bytes) -> AnswerText:
-    """Return the text of server-sent events and whether they end well."""
+    """Return the text of server-sent events and whether the stream is complete."""
     lines = body.decode(errors="replace").split("\n")
-    data = [line.removeprefix(DATA) for line in lines if line.startswith(DATA)]
+    data = [
+        line.removeprefix(DATA_PREFIX) for line in lines if line.startswith(DATA_PREFIX)
+    ]
     is_whole = bool(data) and data[-1] == STREAM_END
     chunks = [msgspec.json.decode(text) for text in data if text != STREAM_END]
     deltas = (
@@ -160,7 +167,7 @@
 
 
 def read_plain(body: bytes) -> AnswerText:
-    """Return the text of a plain chat answer."""
+    """Return the text of a non-streamed chat answer."""
     answer = msgspec.json.decode(body)
     content = answer["choices"][0]["message"]["content"]
     return AnswerText(text=content, is_whole=True)
--- a/eelgrassrack/standins/chat.py
+++ b/eelgrassrack/standins/chat.py
@@ -1,4 +1,4 @@
-"""The chat path of the stand-in engine: plain and streamed answers."""
+"""The chat endpoint of the stand-in engine, with plain and streamed answers."""
 
 import asyncio
 import contextlib
@@ -15,13 +15,13 @@
     from .engine import Engine
 
 DEFAULT_TOKENS = 16
-MOST_TOKENS = 8192
+MAX_TOKENS = 8192
 GARBAGE = b"data: {\xff\xfe not JSON\n\n"
 DONE = b"data: [DONE]\n\n"
 
 
 class EndReason(enum.Enum):
-    """Why nothing more is written of an answer."""
+    """The reason why an answer ended."""
 
     WHOLE = "whole"
     EARLY = "early"
@@ -36,7 +36,7 @@
 
 
 class ChatRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """The part of a chat request that the engine looks at."""
+    """The fields of a chat request that the engine uses."""
 
     model: str
     messages: tuple[ChatMessage, ...]
@@ -47,18 +47,18 @@
 
     @property
     def prompt(self) -> str:
-        """Return the contents of all messages, one a line."""
-        return prompt_of(self.messages)
+        """Return the contents of all messages, joined by line breaks."""
+        return join_contents(self.messages)
 
     @property
     def length(self) -> int:
-        """Return how many tokens the answer is to have."""
+        """Return the number of tokens to answer with."""
         wanted = self.max_completion_tokens or self.max_tokens or DEFAULT_TOKENS
-        return max(1, min(wanted, MOST_TOKENS))
+        return max(1, min(wanted, MAX_TOKENS))
 
 
-def prompt_of(messages: tuple[ChatMessage, ...]) -> str:
-    """Return the prompt that `expected_text` wants for these messages."""
+def join_contents(messages: tuple[ChatMessage, ...]) -> str:
+    """Return the prompt to pass to `expected_text` for these messages."""
     return "\n".join(
         each.content if isinstance(each.content, str) else json.dumps(each.content)
         for each in messages
@@ -66,10 +66,10 @@
 
 
 class ChatHandler(tornado.web.RequestHandler):
-    """Answer one chat request, one token a batch step."""
+    """Answers one chat request with one token per batch step."""
 
     def initialize(self, *, engine: "Engine") -> None:
-        """Keep the engine; nothing has been asked yet."""
+        """Set the engine; Tornado calls this for each request."""
         self.engine = engine
         self._generation = None
         self._ended: asyncio.Future[EndReason] | None = None
@@ -95,18 +95,18 @@
             self.set_header("Content-Type", "text/event-stream")
         reason = await self._ended
         if reason is EndReason.EARLY and not self._chat.stream:
-            await self._cut_plain()
+            await self._truncate_plain()
 
     def on_connection_close(self) -> None:
-        """Free the slot when the other side has gone away."""
+        """Free the slot when the caller has disconnected."""
         if self._ended is None or self._ended.done():
             return
         if self._generation is not None:
             self.engine.cancel(self._generation)
         self._end(EndReason.CALLER_GONE)
 
-    def take(self, *, token: str) -> None:
-        """Write a streamed token; keep a plain one."""
+    def add_token(self, *, token: str) -> None:
+        """Store a token, and write it if the answer is streamed."""
         self._tokens.append(token)
         if self._ended.done():
             return
@@ -125,15 +125,15 @@
             }
             self._write_chunk({"choices": [choice]})
 
-    def end(self) -> None:
-        """Take the end of the generation from the batch."""
+    def finish_answer(self) -> None:
+        """Write the end of the answer after its last token."""
         if self._ended.done():
             return
         self._write_end()
         self._end(EndReason.WHOLE)
 
     def _write_end(self) -> None:
-        """Write what comes after the last token."""
+        """Write the end of a stream, or all of a plain answer."""
         if self._chat.stream:
             choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
             self._write_chunk({"choices": [choice]})
@@ -156,8 +156,8 @@
         if not self._ended.done():
             self._ended.set_result(reason)
 
-    async def _cut_plain(self) -> None:
-        """Send a part of the answer that was announced, then hang up."""
+    async def _truncate_plain(self) -> None:
+        """Send less than the announced Content-Length, then close the connection."""
         part = msgspec.json.encode({"id": self._id, "choices": []})
         self.set_header("Content-Length", str(2 * len(part)))
         self.write(part)
--- a/eelgrassrack/standins/directengine.py
+++ b/eelgrassrack/standins/directengine.py
@@ -1,7 +1,7 @@
-"""A stand-in of an endpoint that takes requests by plain HTTP.
+"""A stand-in for an endpoint that gateways call directly over HTTP.
 
-It does what its script says with one request after the other, byte for byte,
-so that a test can break an answer anywhere.
+It handles each request with the next step of a script and controls every byte of the
+answer, so that a test can break an answer at any point.
 """
 
 import asyncio
@@ -28,7 +28,10 @@
 
 
 class Reply(msgspec.Struct, kw_only=True, frozen=True):
-    """Answer with a status and a body; `extra` bytes follow the answer."""
+    """Answer after `delay` seconds; `extra` bytes follow the answer.
+
+    `attempt` replaces the attempt id in the answer.
+    """
 
     status: int = 200
     body: bytes = b"done"
@@ -38,7 +41,7 @@
 
 
 class Echo(msgspec.Struct, kw_only=True, frozen=True):
-    """Answer with the request's own id, `delay` seconds later."""
+    """Answer with the attempt id of the request as the body, after `delay` seconds."""
 
     delay: float = 0.0
 
@@ -46,8 +49,8 @@
 class Events(msgspec.Struct, kw_only=True, frozen=True):
     """Answer with a stream of `count` events, `gap` seconds apart.
 
-    It breaks off in the middle of the event after `breaks_after` events, and
-    pauses for `pause` seconds after `pauses_after` events.
+    After `breaks_after` events the stream breaks off in the middle of the next one.
+    After `pauses_after` events it pauses for `pause` seconds.
     """
 
     count: int = 3
@@ -59,44 +62,44 @@
 
 
 class Refuse(msgspec.Struct, kw_only=True, frozen=True):
-    """Say that the request hasn't run, `delay` seconds after it came."""
+    """Answer after `delay` seconds that the request has not run."""
 
     status: int = 503
     delay: float = 0.0
 
 
 class Unframed(msgspec.Struct, kw_only=True, frozen=True):
-    """Answer without a length; the connection is reset or closed in order."""
+    """Answer without a length, then reset the connection or close it normally."""
 
     body: bytes = b"half"
     is_reset: bool = False
 
 
 class Break(msgspec.Struct, kw_only=True, frozen=True):
-    """Run the request and reset the connection without an answer."""
+    """Record the request as run and reset the connection without an answer."""
 
 
 class Garbage(msgspec.Struct, kw_only=True, frozen=True):
-    """Send bytes that are no answer."""
+    """Send bytes that are not an HTTP response."""
 
 
 class Raw(msgspec.Struct, kw_only=True, frozen=True):
-    """Send pieces of bytes as they are, one after the other, and close in order."""
+    """Send pieces of bytes unchanged, then close the connection normally."""
 
     pieces: tuple[bytes, ...]
 
 
 class Hang(msgspec.Struct, kw_only=True, frozen=True):
-    """Run the request and say nothing."""
+    """Record the request as run and never answer."""
 
 
 Step = Reply | Echo | Events | Refuse | Unframed | Break | Garbage | Raw | Hang
 
 
-class Run(msgspec.Struct, kw_only=True, frozen=True):
-    """A request that was begun; header names are in lower case.
+class RunRecord(msgspec.Struct, kw_only=True, frozen=True):
+    """A request that the stand-in started to run; header names are in lower case.
 
-    `at` is the steady clock's time of its last byte.
+    `at` is the monotonic time, in seconds, when its last byte was received.
     """
 
     attempt: str
@@ -109,7 +112,7 @@
 
 
 class DirectEngine:
-    """One endpoint; the last step of its script goes on for ever."""
+    """An endpoint that follows a script; the last step is repeated forever."""
 
     __slots__ = (
         "_server",
@@ -126,12 +129,12 @@
 
     def __init__(self, *, name: str, script: Sequence[Step]) -> None:
         self.name = name
-        self.runs: list[Run] = []
-        # Requests that the router gave up, and those of them whose connection
-        # it reset.
+        self.runs: list[RunRecord] = []
+        # Attempt ids of requests that the router cancelled, and of those whose
+        # connection it reset.
         self.cancelled: list[str] = []
         self.resets: list[str] = []
-        # When a stream of an attempt was last broken off, by the steady clock.
+        # The monotonic time when the stream of each attempt last broke off.
         self.broken_at: dict[str, float] = {}
         self.connections = 0
         self.address = ""
@@ -146,15 +149,15 @@
         self.address = f"{host}:{port}"
 
     def refuse(self) -> None:
-        """Take no new connections; those that are open stay as they are."""
+        """Refuse new connections; open connections are not affected."""
         self._server.close()
 
     def play(self, *steps: Step) -> None:
-        """Do this with requests from now on; the last step goes on for ever."""
+        """Replace the script; its last step is repeated forever."""
         self._steps = itertools.chain(steps, itertools.repeat(steps[-1]))
 
     async def stop(self) -> None:
-        """Listen no more and reset all connections."""
+        """Stop listening and reset all connections."""
         self._server.close()
         for writer in tuple(self._writers):
             reset_connection(writer)
@@ -175,7 +178,8 @@
         except (ConnectionError, h11.RemoteProtocolError):
             return
         except asyncio.CancelledError:
-            # The loop ends.  Raised on, asyncio would print a trace for each.
+            # The loop is stopping.  If this were raised, asyncio would print a
+            # traceback for each connection.
             return
         finally:
             self._writers.discard(writer)
@@ -183,7 +187,7 @@
 
     async def _read(
         self, reader: asyncio.StreamReader, machine: h11.Connection
-    ) -> Run | None:
+    ) -> RunRecord | None:
         request: h11.Request | None = None
         body = b""
         while True:
@@ -202,12 +206,12 @@
 
     async def _answer(
         self,
-        run: Run,
+        run: RunRecord,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         machine: h11.Connection,
     ) -> bool:
-        """Do the next step; return whether the connection stays."""
+        """Run the next step; return whether the connection stays open."""
         if run.headers.get(EXPECT_ENDPOINT.lower(), self.name) != self.name:
             await self._send(writer, machine, 421, {INSTANCE: self.name}, b"")
             return True
@@ -252,12 +256,14 @@
                     await asyncio.sleep(0)
                 return False
             case Hang():
-                await self._wait_for_end(run, reader)
+                await self._wait_for_cancel(run, reader)
                 return False
         return True
 
-    async def _wait_for_end(self, run: Run, reader: asyncio.StreamReader) -> None:
-        """Wait until the router gives the request up, and note how."""
+    async def _wait_for_cancel(
+        self, run: RunRecord, reader: asyncio.StreamReader
+    ) -> None:
+        """Wait until the router cancels the request and record how it did so."""
         try:
             await reader.read(1)
         except ConnectionResetError:
@@ -266,7 +272,7 @@
 
     async def _stream(
         self,
-        run: Run,
+        run: RunRecord,
         step: Events,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -296,7 +302,7 @@
             try:
                 gap = step.pause if number == step.pauses_after else step.gap
                 async with asyncio.timeout(gap):
-                    await self._wait_for_end(run, reader)
+                    await self._wait_for_cancel(run, reader)
                 return False
             except TimeoutError:
                 continue
@@ -321,7 +327,7 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection, as a process that crashes does."""
+    """Reset a connection, as the crash of a process does."""
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.transport.is_closing():
         discard_unsent(sock)
@@ -338,9 +344,9 @@
     writer.write(machine.send(response))
 
 
-def _make_run(request: h11.Request, body: bytes) -> Run:
+def _make_run(request: h11.Request, body: bytes) -> RunRecord:
     headers = {name.decode().lower(): value.decode() for name, value in request.headers}
-    return Run(
+    return RunRecord(
         attempt=headers.get(ATTEMPT.lower(), ""),
         model=headers.get(MODEL.lower(), ""),
         method=request.method.decode(),
--- a/eelgrassrack/standins/engine.py
+++ b/eelgrassrack/standins/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in model engine that speaks the usual protocol for language models.
+"""A stand-in for a model engine with an OpenAI-style chat API.
 
-It batches continuously with limited slots, caches prompt prefixes, falls
-over when given too much in a cold start, and has faults that a test
-switches on by setting attributes of `Engine`.
+It uses continuous batching with limited slots, caches prompt prefixes and crashes if
+it is overloaded during a cold start.  Tests switch on faults by setting attributes of
+`Engine`.
 """
 
 import asyncio
@@ -21,20 +21,22 @@
 from .records import Health, Order, StartRecord
 from .server import LOOPBACK, StandinServer
 
-LOAD_WORD = "load"
-UNLOAD_WORD = "unload"
-LONGEST_SLEEP = 0.05
+LOAD_ORDER = "load"
+UNLOAD_ORDER = "unload"
+MAX_SLEEP_SECONDS = 0.05
 
 
 class Engine:
-    """A stand-in engine; its public attributes are switches for tests.
-
-    Faults: `crash()`, `make_cold()`, `crash_text`, `slow_factor`,
-    `garbage`, `end_early`, `answer_other_id`, `never_answer`,
-    `bad_versions`, `report_lag` (seconds).  Counts: `started` (every
-    request that reached it, also those that never got a slot), `whole`
-    (whole answers), `cancelled`, `crashes`, `overloads` (crashes for too
-    much in a cold start), `cache_hits`, `orders`, `most_running`.
+    """A stand-in engine; tests control it by its public attributes.
+
+    Faults: `crash()`, `make_cold()`, `crash_text` (prompts that contain it crash
+    the engine), `slow_factor`, `garbage`, `end_early`, `answer_other_id`,
+    `never_answer`, `bad_versions`, `report_lag` (seconds).
+
+    Records: `started` (all requests that reached the engine, with or without a
+    slot), `whole` (number of complete answers), `cancelled`, `crashes`,
+    `overloads` (crashes by overload during a cold start), `cache_hits`, `orders`,
+    `max_running`.
     """
 
     def __init__(
@@ -61,13 +63,13 @@
         self.restart_seconds = restart_seconds
         self.report_lag = report_lag
         self.checks_orders = checks_orders
-        self._set_up_faults()
-        self._set_up_counts()
+        self._init_faults()
+        self._init_counts()
         self._clock = clock
         self._batch = Batch(
             slots=slots, prefill_seconds=prefill_seconds, cache_blocks=cache_blocks
         )
-        self._cold_left = cold_completions
+        self._cold_remaining = cold_completions
         self._reports: collections.deque[tuple[float, Health]] = collections.deque()
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
@@ -82,7 +84,7 @@
         app = tornado.web.Application(handlers, log_function=lambda handler: None)
         self._server = StandinServer(app=app)
 
-    def _set_up_faults(self) -> None:
+    def _init_faults(self) -> None:
         self.crash_text = ""
         self.slow_factor = 1.0
         self.garbage = False
@@ -91,7 +93,7 @@
         self.never_answer = False
         self.bad_versions: set[str] = set()
 
-    def _set_up_counts(self) -> None:
+    def _init_counts(self) -> None:
         self.started: list[StartRecord] = []
         self.orders: list[Order] = []
         self.highest_fence = 0
@@ -99,7 +101,7 @@
         self.cancelled = 0
         self.crashes = 0
         self.overloads = 0
-        self.most_running = 0
+        self.max_running = 0
 
     @property
     def url(self) -> str:
@@ -108,17 +110,17 @@
 
     @property
     def cold(self) -> bool:
-        """Tell whether the engine is in a cold start."""
-        return self._cold_left > 0
+        """Return whether the engine is in a cold start."""
+        return self._cold_remaining > 0
 
     @property
     def running(self) -> int:
-        """Return how many requests hold a slot right now."""
+        """Return how many requests currently have a slot."""
         return len(self._batch.running)
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait for a slot right now."""
+        """Return how many requests currently wait for a slot."""
         return self._batch.waiting
 
     @property
@@ -127,13 +129,13 @@
         return self._batch.cache.hits
 
     async def start(self, port: int = 0, address: str = LOOPBACK) -> None:
-        """Listen and run the batch loop."""
+        """Start listening and start the batch loop."""
         await self._server.start(port=port, address=address)
-        self._report()
+        self._add_report()
         self._task = asyncio.ensure_future(self._run_steps())
 
     async def stop(self) -> None:
-        """Cut every connection and stop for good."""
+        """Close all connections and stop permanently."""
         if self._restart is not None:
             self._restart.cancel()
         await self._server.stop()
@@ -144,14 +146,17 @@
                 await self._task
 
     def make_cold(self, *, completions: int | None = None) -> None:
-        """Fall back into a cold start without a warning."""
+        """Return to a cold start without a crash.
+
+        `completions` is the number of answers until the engine is warm.
+        """
         if completions is not None:
             self.cold_completions = completions
-        self._cold_left = max(self.cold_completions, 1)
-        self._report()
+        self._cold_remaining = max(self.cold_completions, 1)
+        self._add_report()
 
     def crash(self) -> None:
-        """Lose all work, refuse connections, come back cold and new."""
+        """Lose all work, refuse connections and restart cold as a new incarnation."""
         self.crashes += 1
         self._batch.clear()
         self._server.refuse()
@@ -163,15 +168,15 @@
     def _come_back(self) -> None:
         self._restart = None
         self.incarnation = secrets.token_hex(6)
-        self._cold_left = self.cold_completions
+        self._cold_remaining = self.cold_completions
         self._reports.clear()
-        self._report()
+        self._add_report()
         self._server.accept()
 
     def submit(
         self, *, chat: ChatRequest, request: str, sink: Sink
     ) -> Generation | None:
-        """Take a request; return nothing when it makes the engine crash."""
+        """Queue a request; return None if it crashes the engine."""
         record = StartRecord(
             request=request,
             version=chat.model,
@@ -193,37 +198,37 @@
             prompt=chat.prompt, tokens=tokens, sink=sink, priority=chat.priority
         )
         self._batch.submit(generation)
-        self._report()
+        self._add_report()
         self._wake.set()
         return generation
 
     def cancel(self, generation: Generation) -> None:
-        """Free the slot of a request whose caller went away."""
+        """Free the slot of a request whose caller has disconnected."""
         if self._batch.cancel(generation):
             self.cancelled += 1
-            self._report()
+            self._add_report()
 
-    def take_order(self, order: Order) -> bool:
-        """Carry an order out; false if its fencing number is old."""
+    def execute_order(self, order: Order) -> bool:
+        """Execute an order; return False if its fencing number is too old."""
         if self.checks_orders and order.fence < self.highest_fence:
             return False
         self.highest_fence = max(self.highest_fence, order.fence)
         self.orders.append(order)
         match order.order.split():
-            case [word, version] if word == LOAD_WORD:
+            case [name, version] if name == LOAD_ORDER:
                 self.versions = sorted({*self.versions, version})
-            case [word, version] if word == UNLOAD_WORD:
+            case [name, version] if name == UNLOAD_ORDER:
                 self.versions = [each for each in self.versions if each != version]
         return True
 
     def report_health(self) -> Health:
         """Return the newest report that is at least `report_lag` old."""
-        horizon = self._clock() - self.report_lag
-        while len(self._reports) > 1 and self._reports[1][0] <= horizon:
+        newest_visible = self._clock() - self.report_lag
+        while len(self._reports) > 1 and self._reports[1][0] <= newest_visible:
             self._reports.popleft()
         return self._reports[0][1]
 
-    def _report(self) -> None:
+    def _add_report(self) -> None:
         health = Health(
             incarnation=self.incarnation,
             cold=self.cold,
@@ -241,22 +246,21 @@
                 self._wake.clear()
                 await self._wake.wait()
                 began = self._clock()
-            began = await self._finish_interval(began)
+            began = await self._sleep_until_step_ends(began)
             self._step()
 
-    async def _finish_interval(self, began: float) -> float:
-        """Sleep until the step that began then is over; return its end.
+    async def _sleep_until_step_ends(self, began: float) -> float:
+        """Sleep until the step that began at `began` ends; return the time of its end.
 
-        A step that comes late is not caught up by a burst: an engine that
-        lost time emits later, it doesn't emit faster.
+        A delayed engine emits its tokens later; it does not catch up with a burst.
         """
         while True:
             ends = began + self.slow_factor / self.tokens_per_second
-            left = ends - self._clock()
-            if left <= 0:
+            remaining = ends - self._clock()
+            if remaining <= 0:
                 return max(ends, self._clock() - 1.0 / self.tokens_per_second)
-            # A test may change the speed while a slow step is under way.
-            await asyncio.sleep(min(left, LONGEST_SLEEP))
+            # A test may change the speed during a slow step.
+            await asyncio.sleep(min(remaining, MAX_SLEEP_SECONDS))
 
     def _step(self) -> None:
         now = self._clock()
@@ -264,9 +268,9 @@
         if self.crash_text and any(self.crash_text in each.prompt for each in admitted):
             self.crash()
             return
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         ended = [] if self.never_answer else self._batch.step(now=now)
         self.whole += len(ended)
-        self._cold_left = max(0, self._cold_left - len(ended))
+        self._cold_remaining = max(0, self._cold_remaining - len(ended))
         if admitted or ended:
-            self._report()
+            self._add_report()
--- a/eelgrassrack/standins/enginehandlers.py
+++ b/eelgrassrack/standins/enginehandlers.py
@@ -1,4 +1,4 @@
-"""The paths of the stand-in engine beside the chat itself."""
+"""Handlers of the stand-in engine for health, models and orders."""
 
 from typing import TYPE_CHECKING
 
@@ -12,10 +12,10 @@
 
 
 class EngineHandler(tornado.web.RequestHandler):
-    """Base of the handlers of the engine's side paths."""
+    """Base of the handlers in this module."""
 
     def initialize(self, *, engine: "Engine") -> None:
-        """Keep the engine."""
+        """Set the engine; Tornado calls this for each request."""
         self.engine = engine
 
     def send(self, value: object, *, status: int = 200) -> None:
@@ -26,33 +26,33 @@
 
 
 class HealthHandler(EngineHandler):
-    """Report the engine's health, with its lag."""
+    """Reports the engine's health, delayed by its `report_lag`."""
 
     def get(self) -> None:
-        """Answer with the report."""
+        """Answer with the health report."""
         self.send(self.engine.report_health())
 
 
 class ModelsHandler(EngineHandler):
-    """List the versions that the engine serves."""
+    """Lists the versions that the engine serves."""
 
     def get(self) -> None:
-        """Answer with the list in the usual shape."""
+        """Answer with the list in the format of the OpenAI models API."""
         data = [{"id": each, "object": "model"} for each in self.engine.versions]
         self.send({"object": "list", "data": data})
 
 
 class OrdersHandler(EngineHandler):
-    """Take orders, with or without a look at their fencing number."""
+    """Receives orders; the engine checks their fencing numbers if it is set to."""
 
     def post(self) -> None:
-        """Carry out an order or refuse an old one with 409."""
+        """Execute an order, or answer 409 if its fencing number is too old."""
         try:
             order = msgspec.json.decode(self.request.body, type=Order)
         except msgspec.DecodeError as error:
             self.send({"error": str(error)}, status=400)
             return
-        if not self.engine.take_order(order):
+        if not self.engine.execute_order(order):
             self.send({"error": "old fencing number"}, status=409)
             return
         self.send({"fence": self.engine.highest_fence})
--- a/eelgrassrack/standins/instancelist.py
+++ b/eelgrassrack/standins/instancelist.py
@@ -1,4 +1,4 @@
-"""The stand-in instance list: a table whose changes show with a lag."""
+"""A stand-in for the platform's instance list, which shows changes with a lag."""
 
 import asyncio
 import time
@@ -10,16 +10,16 @@
 from ..store.instances import Instance, Listing
 from ..store.objects import Unavailable
 from .server import Standin
-from .waiting import Changes
+from .waiting import ChangeNotifier
 
-LONGEST_WATCH = 60.0
+MAX_WATCH_SECONDS = 60.0
 
 
 class InstanceTable:
-    """The live and leaving instances, as the `InstanceList` protocol.
+    """An in-memory `InstanceList` of the live and leaving instances.
 
-    `lag` is how many seconds a change takes to show, `outage` refuses
-    every watch, `calls` counts watches.
+    `lag` is the time in seconds until a change becomes visible.  `outage` makes all
+    watches fail.  `calls` counts watches.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
         self._instances: dict[str, Instance] = {}
         self._version = 0
         self._shown = Listing(version=0, instances=())
-        self._changes = Changes()
+        self._changes = ChangeNotifier()
 
     @property
     def outage(self) -> bool:
-        """Tell whether the instance list is down."""
+        """Return whether the instance list is down."""
         return self._outage
 
     @outage.setter
@@ -46,38 +46,38 @@
 
     @property
     def shown(self) -> Listing:
-        """Return what the list shows now, which may be old."""
+        """Return the visible list, which may be outdated."""
         return self._shown
 
     def join(self, instance: Instance) -> None:
         """Add an instance, or replace the one of the same name."""
         self._instances[instance.name] = instance
-        self._change()
+        self._publish()
 
     def leave(self, name: str) -> None:
         """Mark an instance as leaving."""
-        known = self._instances[name]
-        self._instances[name] = msgspec.structs.replace(known, leaving=True)
-        self._change()
+        instance = self._instances[name]
+        self._instances[name] = msgspec.structs.replace(instance, leaving=True)
+        self._publish()
 
     def remove(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         del self._instances[name]
-        self._change()
+        self._publish()
 
     async def watch(self, *, version: int, timeout: float) -> Listing | Unavailable:
-        """Return the list once it is newer than `version`, or at the timeout."""
+        """Return the list when newer than `version`, or after `timeout` seconds."""
         self.calls += 1
         ends_at = self._clock() + timeout
         while not self._outage:
-            left = ends_at - self._clock()
-            if self._shown.version > version or left <= 0:
+            remaining = ends_at - self._clock()
+            if self._shown.version > version or remaining <= 0:
                 return self._shown
-            if not await self._changes.wait(timeout=left):
+            if not await self._changes.wait(timeout=remaining):
                 return self._shown
         return Unavailable(reason="outage")
 
-    def _change(self) -> None:
+    def _publish(self) -> None:
         self._version += 1
         instances = tuple(self._instances[name] for name in sorted(self._instances))
         listing = Listing(version=self._version, instances=instances)
@@ -108,10 +108,10 @@
 
 
 class InstanceHandler(tornado.web.RequestHandler):
-    """Let whoever plays the platform add, mark and remove instances."""
+    """Lets tests and benchmarks add, mark and remove instances."""
 
     def initialize(self, *, table: InstanceTable) -> None:
-        """Keep the table."""
+        """Set the table; Tornado calls this for each request."""
         self.table = table
 
     def put(self, name: str) -> None:
@@ -120,32 +120,34 @@
         self.table.join(msgspec.structs.replace(instance, name=name))
 
     def delete(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         self.table.remove(name)
 
 
 class InstancesHandler(tornado.web.RequestHandler):
-    """Answer with the list, now or once it has changed."""
+    """Answers with the list, immediately or once it has changed."""
 
     def initialize(self, *, table: InstanceTable) -> None:
-        """Keep the table; nothing waits yet."""
+        """Set the table; Tornado calls this for each request."""
         self.table = table
         self.waiting: asyncio.Future[Listing | Unavailable] | None = None
 
     def on_connection_close(self) -> None:
-        """End a watch whose caller has gone away."""
+        """Cancel the watch of a caller that has disconnected."""
         if self.waiting is not None:
             self.waiting.cancel()
 
     async def get(self) -> None:
-        """Wait for a list newer than `watch`; without it answer at once."""
+        """Answer with a list newer than `watch`; without `watch` answer immediately."""
         try:
             version = int(self.get_query_argument("watch", "-1"))
             timeout = float(self.get_query_argument("timeout", "0"))
         except ValueError:
             self.send_error(400)
             return
-        watch = self.table.watch(version=version, timeout=min(timeout, LONGEST_WATCH))
+        watch = self.table.watch(
+            version=version, timeout=min(timeout, MAX_WATCH_SECONDS)
+        )
         self.waiting = asyncio.ensure_future(watch)
         await asyncio.wait({self.waiting})
         if self.waiting.cancelled():
--- a/eelgrassrack/standins/metadatastore.py
+++ b/eelgrassrack/standins/metadatastore.py
@@ -1,8 +1,8 @@
-"""A stand-in of the platform's metadata store, with its faults.
+"""A stand-in for the platform's metadata store, with faults for tests.
 
-Objects lie by kind and name under one counter of revisions.  A test makes it
-silent, slow, deaf or forgetful, turns callers away, or loses answers of writes
-that took effect.
+It stores objects by kind and name, with one revision counter for all.  Tests can make
+it slow or unresponsive, make it refuse calls, hang watches, forget its history, serve
+stale lists, or lose the answers of writes that took effect.
 """
 
 import asyncio
@@ -18,12 +18,15 @@
 NULL = msgspec.Raw(b"null")
 PATH = OBJECTS_PATH + r"/([^/]+)(?:/([^/]+))?(/status)?"
 
-# A watch looks for changes this often.
-LOOK_SECONDS = 0.01
+# The interval at which a watch checks for changes.
+POLL_SECONDS = 0.01
 
 
 class Fault(enum.Enum):
-    """What the store does to calls instead of answering them."""
+    """How the store treats calls instead of answering them normally.
+
+    `SILENT` never answers, and `RESET` closes the connection.
+    """
 
     NONE = "none"
     BUSY = "busy"
@@ -34,7 +37,7 @@
 
 
 class Draft(msgspec.Struct):
-    """The body of a write: what the caller wants an object to be."""
+    """The body of a write: the desired content of an object."""
 
     metadata: WireMeta = WireMeta(name="")
     spec: msgspec.Raw = NULL
@@ -42,11 +45,14 @@
 
 
 class MetadataStore:
-    """The store and its HTTP server."""
+    """The store and its HTTP server.
+
+    `delay` is the seconds before each call, `calls` the number of calls.
+    """
 
     __slots__ = (
         "_changes",
-        "_forgotten",
+        "_forgotten_until",
         "_objects",
         "_server",
         "_stale_pages",
@@ -60,13 +66,13 @@
     def __init__(self) -> None:
         self._objects: dict[str, dict[str, WireObject]] = {}
         self._changes: list[tuple[int, str, WireEvent]] = []
-        self._forgotten = 0
+        self._forgotten_until = 0
         self._stale_pages: dict[str, WirePage] | None = None
         self.calls = 0
         self.delay = 0.0
         self.fault = Fault.NONE
         self.revision = 1
-        # The seconds that the last watch of each kind asked to wait.
+        # The wait in seconds that the last watch of each kind asked for.
         self.waits: dict[str, float] = {}
         app = tornado.web.Application([(PATH, _Handler, {"store": self})])
         self._server = StandinServer(app=app)
@@ -81,37 +87,37 @@
         await self._server.start()
 
     async def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         await self._server.stop()
 
     def put(self, *, kind: str, name: str, spec: object) -> WireObject:
-        """Make or replace an object, as operators and endpoints do."""
+        """Create or replace an object, as operators and endpoints do."""
         return self.write(kind, name, spec=msgspec.Raw(msgspec.json.encode(spec)))
 
     def put_raw(self, *, kind: str, name: str, spec: bytes) -> WireObject:
-        """Make or replace an object by the bytes of its JSON."""
+        """Create or replace an object from JSON bytes."""
         return self.write(kind, name, spec=msgspec.Raw(spec))
 
     def remove(self, *, kind: str, name: str) -> None:
         """Remove an object."""
-        gone = self._objects.get(kind, {}).pop(name, None)
-        if gone is not None:
-            self._note(kind, WireEvent(object=gone, tombstone=True))
+        removed = self._objects.get(kind, {}).pop(name, None)
+        if removed is not None:
+            self._add_event(kind, WireEvent(object=removed, tombstone=True))
 
     def find(self, *, kind: str, name: str) -> WireObject | None:
-        """Return an object."""
+        """Return an object, or None if it doesn't exist."""
         return self._objects.get(kind, {}).get(name)
 
     def forget_history(self) -> None:
-        """Forget all changes: a watch from before gets 410."""
-        self._forgotten = self.revision
+        """Forget all changes, so that a watch from an older revision gets 410."""
+        self._forgotten_until = self.revision
 
     def freeze_stale_reads(self) -> None:
-        """Answer from now on with what lies here now to who bears stale lists."""
+        """Serve the present objects from now on to callers that accept stale lists."""
         self._stale_pages = {kind: self.list_page(kind) for kind in self._objects}
 
     def list_stale_page(self, kind: str) -> WirePage:
-        """Return all objects of a kind as they were lately."""
+        """Return all objects of a kind, as of `freeze_stale_reads` if it was called."""
         if self._stale_pages is None:
             return self.list_page(kind)
         return self._stale_pages.get(
@@ -124,8 +130,8 @@
         return WirePage(items=items, store_revision=self.revision)
 
     def find_changes(self, kind: str, after: int) -> WireWatch | None:
-        """Return the changes after a revision, or None if they are forgotten."""
-        if after < self._forgotten:
+        """Return the changes after a revision, or None if they were forgotten."""
+        if after < self._forgotten_until:
             return None
         events = tuple(
             event
@@ -142,26 +148,28 @@
         spec: msgspec.Raw | None = None,
         status: msgspec.Raw | None = None,
     ) -> WireObject:
-        """Write an object's spec or status."""
-        known = self.find(kind=kind, name=name)
+        """Write an object's spec, status or both, and keep the rest."""
+        current = self.find(kind=kind, name=name)
         self.revision += 1
-        created = known.metadata.created if known else self.revision
-        found = WireObject(
+        created = current.metadata.created if current else self.revision
+        written = WireObject(
             metadata=WireMeta(name=name, revision=self.revision, created=created),
-            spec=spec if spec is not None else (known.spec if known else NULL),
-            status=status if status is not None else (known.status if known else NULL),
+            spec=spec if spec is not None else (current.spec if current else NULL),
+            status=status
+            if status is not None
+            else (current.status if current else NULL),
         )
-        self._objects.setdefault(kind, {})[name] = found
-        self._changes.append((self.revision, kind, WireEvent(object=found)))
-        return found
+        self._objects.setdefault(kind, {})[name] = written
+        self._changes.append((self.revision, kind, WireEvent(object=written)))
+        return written
 
-    def _note(self, kind: str, event: WireEvent) -> None:
+    def _add_event(self, kind: str, event: WireEvent) -> None:
         self.revision += 1
         self._changes.append((self.revision, kind, event))
 
 
 class _Handler(tornado.web.RequestHandler):
-    """One call to the store."""
+    """Handles one call to the store."""
 
     def initialize(self, store: MetadataStore) -> None:
         self.store = store
@@ -193,34 +201,34 @@
 
     async def post(self, kind: str, _: str | None, __: str | None) -> None:
         draft = msgspec.json.decode(self.request.body, type=Draft)
-        known = self.store.find(kind=kind, name=draft.metadata.name)
-        if known is not None:
-            self._answer(409, known)
+        current = self.store.find(kind=kind, name=draft.metadata.name)
+        if current is not None:
+            self._answer(409, current)
             return
-        made = self.store.write(kind, draft.metadata.name, spec=draft.spec)
-        self._answer_write(made)
+        written = self.store.write(kind, draft.metadata.name, spec=draft.spec)
+        self._answer_write(written)
 
     async def put(self, kind: str, name: str, is_status: str | None) -> None:
         draft = msgspec.json.decode(self.request.body, type=Draft)
-        known = self.store.find(kind=kind, name=name)
-        if known is None:
+        current = self.store.find(kind=kind, name=name)
+        if current is None:
             self._answer(404, None)
             return
         expected = draft.metadata.revision
-        if expected and expected != known.metadata.revision:
-            self._answer(409, known)
+        if expected and expected != current.metadata.revision:
+            self._answer(409, current)
             return
         if is_status:
-            made = self.store.write(kind, name, status=draft.status)
+            written = self.store.write(kind, name, status=draft.status)
         else:
-            made = self.store.write(kind, name, spec=draft.spec)
-        self._answer_write(made)
+            written = self.store.write(kind, name, spec=draft.spec)
+        self._answer_write(written)
 
     async def _watch(self, kind: str, after: int) -> None:
         loop = asyncio.get_running_loop()
         wait = int(self.get_query_argument(WAIT_QUERY, "0")) / 1000
         self.store.waits[kind] = wait
-        last = loop.time() + wait
+        ends_at = loop.time() + wait
         while True:
             if self.store.fault is Fault.HANGS_WATCHES:
                 await asyncio.Event().wait()
@@ -228,16 +236,16 @@
             if found is None:
                 self._answer(410, None)
                 return
-            if found.events or loop.time() >= last:
+            if found.events or loop.time() >= ends_at:
                 self._answer(200, found)
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
-    def _answer_write(self, made: WireObject) -> None:
+    def _answer_write(self, written: WireObject) -> None:
         if self.store.fault is Fault.LOSES_WRITE_ANSWERS:
             self.request.connection.stream.close()
             return
-        self._answer(200, made)
+        self._answer(200, written)
 
     def _answer(self, status: int, body: object) -> None:
         self.set_status(status)
--- a/eelgrassrack/standins/objectapi.py
+++ b/eelgrassrack/standins/objectapi.py
@@ -1,8 +1,9 @@
-"""The stand-in object API over HTTP.
+"""A stand-in for the platform's object API, served over HTTP.
 
-An object is `/objects/KIND/NAME` with its version as `ETag`; a slash in
-a name is written `%2F`.  `If-None-Match: *` creates, `If-Match` changes
-or deletes, `?watch=VERSION&timeout=SECONDS` waits for another version.
+An object has the path `/objects/KIND/NAME` and its version as `ETag`; a slash in a
+name is encoded as `%2F`.  A write with `If-None-Match: *` creates an object, and one
+with `If-Match` replaces or deletes it.  `?watch=VERSION&timeout=SECONDS` waits until
+the object has another version.
 """
 
 import asyncio
@@ -31,14 +32,17 @@
 from .server import Standin
 
 CALLER_HEADER = "X-Caller"
-LONGEST_WATCH = 60.0
-STATUS_OF_REASON = {OUTAGE: 503, RATE_LIMITED: 429, TOO_LARGE: 413}
+MAX_WATCH_SECONDS = 60.0
+STATUS_BY_REASON = {OUTAGE: 503, RATE_LIMITED: 429, TOO_LARGE: 413}
 
 Result = Found | Absent | Unchanged | Written | Conflict | Names | Unavailable
 
 
 class ObjectApi(Standin):
-    """The object API's server; `drop_in_outage` cuts instead of a 503."""
+    """The server of the object API.
+
+    With `drop_in_outage` an outage closes connections instead of answering 503.
+    """
 
     def __init__(self, *, table: ObjectTable) -> None:
         self.table = table
@@ -54,29 +58,29 @@
 
 
 class ApiHandler(tornado.web.RequestHandler):
-    """Turn the table's results into responses."""
+    """Base of the handlers; turns results of the table into responses."""
 
     def initialize(self, *, api: ObjectApi) -> None:
-        """Keep the API; nothing waits yet."""
+        """Set the API; Tornado calls this for each request."""
         self.api = api
         self.waiting: asyncio.Future[Result] | None = None
 
     @property
     def store(self) -> TableStore:
-        """Return the table as this request's caller sees it."""
+        """Return a client of the table for the caller of this request."""
         caller = self.request.headers.get(CALLER_HEADER, "")
         return TableStore(table=self.api.table, caller=caller)
 
     def compute_etag(self) -> None:
-        """Make no ETag from the body: the version is the ETag."""
+        """Disable Tornado's ETag of the body, because the version is the ETag."""
 
     def on_connection_close(self) -> None:
-        """End a watch whose caller has gone away."""
+        """Cancel the watch of a caller that has disconnected."""
         if self.waiting is not None:
             self.waiting.cancel()
 
     def answer(self, result: Result) -> None:
-        """Write a result as a response, or none at all."""
+        """Answer with a result, or close the connection if the answer is lost."""
         match result:
             case Found(body=body, version=version):
                 self._set_version(version)
@@ -97,7 +101,7 @@
                 self._answer_unavailable(unavailable)
 
     def send_status(self, status: int) -> None:
-        """Answer with nothing but a status."""
+        """Answer with a status and no body."""
         self.set_status(status)
         self.finish()
 
@@ -108,14 +112,14 @@
             self.request.connection.stream.close()
             return
         self.set_header("Retry-After", str(unavailable.retry_after))
-        self.send_status(STATUS_OF_REASON[reason])
+        self.send_status(STATUS_BY_REASON[reason])
 
     def _set_version(self, version: int) -> None:
         self.set_header("ETag", f'"{version}"')
 
 
 class KindHandler(ApiHandler):
-    """List the names of a kind."""
+    """Lists the names of a kind."""
 
     async def get(self, kind: str) -> None:
         """Answer with the names that start with `prefix`."""
@@ -124,10 +128,10 @@
 
 
 class ObjectHandler(ApiHandler):
-    """Read, watch, write and delete one object."""
+    """Reads, watches, writes and deletes one object."""
 
     async def get(self, kind: str, name: str) -> None:
-        """Answer with the object, now or once it has changed."""
+        """Answer with the object, immediately or once it has changed."""
         if "watch" in self.request.query_arguments:
             await self._watch(kind, name)
             return
@@ -159,7 +163,7 @@
     async def _watch(self, kind: str, name: str) -> None:
         try:
             version = int(self.get_query_argument("watch"))
-            timeout = float(self.get_query_argument("timeout", str(LONGEST_WATCH)))
+            timeout = float(self.get_query_argument("timeout", str(MAX_WATCH_SECONDS)))
         except ValueError:
             self.send_status(400)
             return
@@ -167,7 +171,7 @@
             kind=kind,
             name=name,
             version=version,
-            timeout=min(timeout, LONGEST_WATCH),
+            timeout=min(timeout, MAX_WATCH_SECONDS),
         )
         self.waiting = asyncio.ensure_future(watch)
         await asyncio.wait({self.waiting})
@@ -176,5 +180,5 @@
 
     def _read_condition(self) -> int | None:
         quoted = self.request.headers.get("If-Match", "")
-        found = re.fullmatch(r'"(\d+)"', quoted)
-        return int(found.group(1)) if found else None
+        match = re.fullmatch(r'"(\d+)"', quoted)
+        return int(match.group(1)) if match else None
--- a/eelgrassrack/standins/objects.py
+++ b/eelgrassrack/standins/objects.py
@@ -1,4 +1,4 @@
-"""The stand-in object API as a table in memory, with its faults."""
+"""A stand-in for the object API: an in-memory table with faults for tests."""
 
 import asyncio
 import collections
@@ -15,7 +15,7 @@
     Unchanged,
     Written,
 )
-from .waiting import Changes
+from .waiting import ChangeNotifier
 
 OUTAGE = "outage"
 RATE_LIMITED = "rate limited"
@@ -24,29 +24,29 @@
 
 
 class Key(NamedTuple):
-    """What names an object."""
+    """The kind and name that identify an object."""
 
     kind: str
     name: str
 
 
 class CallKey(NamedTuple):
-    """What calls are counted by."""
+    """The caller and operation by which calls are counted."""
 
     caller: str
     operation: str
 
 
 class ObjectTable:
-    """Objects with versions; its public attributes are faults for tests.
-
-    `outage` refuses every call and ends every watch, `delay` is seconds
-    before each call, `lose_answers` is how many of the next writes take
-    effect without their answer reaching the caller, `max_calls_per_second`
-    bounds the calls in each second of the clock (zero: unbounded).
-    Versions come from one counter, so a name that is removed and made
-    again never has an old version.  `calls` counts each call, a waiting
-    watch as one.
+    """Objects with versions; tests switch on faults by the public attributes.
+
+    `outage` refuses all calls and ends all watches.  `delay` is the seconds before
+    each call.  The answers of the next `lose_answers` writes are lost although the
+    writes take effect.  `max_calls_per_second` limits the calls in each second of the
+    clock; 0 means no limit.
+
+    All versions come from one counter, so an object that is removed and created
+    again never gets an old version.  `calls` counts the calls; a watch counts as one.
     """
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
@@ -57,14 +57,14 @@
         self._clock = clock
         self._outage = False
         self._objects: dict[Key, Found] = {}
-        self._changes: dict[Key, Changes] = {}
+        self._changes: dict[Key, ChangeNotifier] = {}
         self._version = 0
         self._second = 0
         self._calls_in_second = 0
 
     @property
     def outage(self) -> bool:
-        """Tell whether the object API is down."""
+        """Return whether the object API is down."""
         return self._outage
 
     @outage.setter
@@ -74,11 +74,11 @@
             changes.notify()
 
     def count_calls(self, *, caller: str) -> int:
-        """Return how many calls a caller has made."""
+        """Return the number of calls that a caller has made."""
         return sum(count for call, count in self.calls.items() if call.caller == caller)
 
     def admit(self, *, caller: str, operation: str) -> Unavailable | None:
-        """Count a call; return why it is refused, if it is."""
+        """Count a call; return the reason if it is refused, else None."""
         self.calls[CallKey(caller, operation)] += 1
         if self._outage:
             return Unavailable(reason=OUTAGE)
@@ -99,7 +99,7 @@
         return self._objects.get(key, Absent())
 
     def create(self, *, key: Key, body: bytes) -> Written | Conflict | Unavailable:
-        """Make an object that must not exist yet."""
+        """Create an object; return a conflict if it exists."""
         if len(body) > MAX_BODY_BYTES:
             return Unavailable(reason=TOO_LARGE)
         if key in self._objects:
@@ -109,7 +109,7 @@
     def replace(
         self, *, key: Key, body: bytes, version: int
     ) -> Written | Conflict | Unavailable:
-        """Change an object that must still have this version."""
+        """Replace an object; return a conflict if it has another version."""
         if len(body) > MAX_BODY_BYTES:
             return Unavailable(reason=TOO_LARGE)
         if not self._has_version(key=key, version=version):
@@ -117,7 +117,7 @@
         return self._write(key=key, body=body)
 
     def remove(self, *, key: Key, version: int) -> Written | Conflict:
-        """Delete an object that must still have this version."""
+        """Delete an object; return a conflict if it has another version."""
         if not self._has_version(key=key, version=version):
             return Conflict()
         del self._objects[key]
@@ -135,8 +135,8 @@
         return Names(names=tuple(names))
 
     async def wait(self, *, key: Key, timeout: float) -> bool:
-        """Wait until an object changes; false at the timeout."""
-        changes = self._changes.setdefault(key, Changes())
+        """Wait until an object changes; return False after `timeout` seconds."""
+        changes = self._changes.setdefault(key, ChangeNotifier())
         try:
             return await changes.wait(timeout=timeout)
         finally:
@@ -144,19 +144,19 @@
                 del self._changes[key]
 
     def count_watches(self) -> int:
-        """Return how many watches wait right now."""
+        """Return the number of watches that are waiting."""
         return sum(changes.waiting for changes in self._changes.values())
 
-    def lose_answer(self) -> bool:
-        """Tell whether the answer of a write just made gets lost."""
+    def take_lost_answer(self) -> bool:
+        """Return whether the answer of a write is lost, and count it down."""
         if not self.lose_answers:
             return False
         self.lose_answers -= 1
         return True
 
     def _has_version(self, *, key: Key, version: int) -> bool:
-        known = self._objects.get(key)
-        return known is not None and known.version == version
+        current = self._objects.get(key)
+        return current is not None and current.version == version
 
     def _write(self, *, key: Key, body: bytes) -> Written:
         self._version += 1
@@ -170,7 +170,7 @@
 
 
 class TableStore:
-    """The `ObjectStore` protocol over a table in the same process."""
+    """An `ObjectStore` on a table in the same process."""
 
     __slots__ = ("_caller", "_table")
 
@@ -186,7 +186,7 @@
     async def create(
         self, *, kind: str, name: str, body: bytes
     ) -> Written | Conflict | Unavailable:
-        """Make an object that must not exist yet."""
+        """Create an object; return a conflict if it exists."""
         refusal = await self._begin("create")
         if refusal:
             return refusal
@@ -195,7 +195,7 @@
     async def replace(
         self, *, kind: str, name: str, body: bytes, version: int
     ) -> Written | Conflict | Unavailable:
-        """Change an object that must still have this version."""
+        """Replace an object; return a conflict if it has another version."""
         refusal = await self._begin("replace")
         if refusal:
             return refusal
@@ -205,7 +205,7 @@
     async def remove(
         self, *, kind: str, name: str, version: int
     ) -> Written | Conflict | Unavailable:
-        """Delete an object that must still have this version."""
+        """Delete an object; return a conflict if it has another version."""
         refusal = await self._begin("remove")
         if refusal:
             return refusal
@@ -214,7 +214,10 @@
     async def watch(
         self, *, kind: str, name: str, version: int, timeout: float
     ) -> Found | Absent | Unchanged | Unavailable:
-        """Wait until an object has another version than this one."""
+        """Wait until an object has another version than `version`.
+
+        `timeout` is in seconds.
+        """
         refusal = await self._begin("watch")
         if refusal:
             return refusal
@@ -244,6 +247,6 @@
     def _end(
         self, result: Written | Conflict | Unavailable
     ) -> Written | Conflict | Unavailable:
-        if self._table.lose_answer():
+        if self._table.take_lost_answer():
             return Unavailable(reason=ANSWER_LOST, maybe_written=True)
         return result
--- a/eelgrassrack/standins/rating.py
+++ b/eelgrassrack/standins/rating.py
@@ -1,4 +1,4 @@
-"""The stand-in rating service: it knows bad answers by their marker."""
+"""A stand-in for the rating service, which detects bad answers by their marker."""
 
 import asyncio
 from collections.abc import Iterable
@@ -14,8 +14,8 @@
 BAD_SCORE = 0.1
 
 
-class Answered(msgspec.Struct, kw_only=True, frozen=True):
-    """An answer to be rated."""
+class RatingRequest(msgspec.Struct, kw_only=True, frozen=True):
+    """The body of a request: an answer to rate."""
 
     kind: str
     version: str
@@ -24,11 +24,12 @@
 
 
 class RatingService(Standin):
-    """A rating service; its public attributes are switches for tests.
+    """A rating service; tests control it by its public attributes.
 
-    Answers with a marker are bad; those of a model in `cheap` are weak on
-    a prompt that contains "hard"; all others are good.  Faults: `silent`
-    (never answers), `delay` (seconds), `wrong` (turns every score over).
+    Answers with the bad marker get the bad score.  Answers of a model in `cheap` to a
+    prompt that contains "hard" get the weak score, and all others the good score.
+    Faults: `silent` (never answers), `delay` (seconds before the answer), `wrong`
+    (inverts all scores).
     """
 
     def __init__(self, *, cheap: Iterable[str] = ()) -> None:
@@ -36,50 +37,50 @@
         self.silent = False
         self.delay = 0.0
         self.wrong = False
-        self.rated: list[Answered] = []
+        self.rated: list[RatingRequest] = []
         app = tornado.web.Application(
             [(r"/ratings", RatingsHandler, {"service": self})],
             log_function=lambda handler: None,
         )
         super().__init__(app=app)
 
-    def rate(self, answered: Answered) -> float:
+    def rate(self, request: RatingRequest) -> float:
         """Return the score of an answer, from 0 to 1."""
-        self.rated.append(answered)
-        score = self._judge(answered)
+        self.rated.append(request)
+        score = self._score(request)
         return 1.0 - score if self.wrong else score
 
-    def _judge(self, answered: Answered) -> float:
-        model = answered.version.partition("/")[0]
-        if BAD_MARKER in answered.answer:
+    def _score(self, request: RatingRequest) -> float:
+        model = request.version.partition("/")[0]
+        if BAD_MARKER in request.answer:
             return BAD_SCORE
-        if HARD_MARKER in answered.prompt and model in self.cheap:
+        if HARD_MARKER in request.prompt and model in self.cheap:
             return WEAK_SCORE
         return GOOD_SCORE
 
 
 class RatingsHandler(tornado.web.RequestHandler):
-    """Take answers and return their scores."""
+    """Receives answers and returns their scores."""
 
     def initialize(self, *, service: RatingService) -> None:
-        """Keep the service; nothing waits yet."""
+        """Set the service; Tornado calls this for each request."""
         self.service = service
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     def on_connection_close(self) -> None:
-        """Stop being silent towards a caller that has gone away."""
-        self.gone.set()
+        """End a silent call when its caller has disconnected."""
+        self.disconnected.set()
 
     async def post(self) -> None:
         """Rate one answer."""
         try:
-            answered = msgspec.json.decode(self.request.body, type=Answered)
+            rating_request = msgspec.json.decode(self.request.body, type=RatingRequest)
         except msgspec.DecodeError as error:
             self.set_status(400)
             self.finish({"error": str(error)})
             return
         if self.service.silent:
-            await self.gone.wait()
+            await self.disconnected.wait()
             return
         await asyncio.sleep(self.service.delay)
-        self.finish({"score": self.service.rate(answered)})
+        self.finish({"score": self.service.rate(rating_request)})
--- a/eelgrassrack/standins/records.py
+++ b/eelgrassrack/standins/records.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine reports, records and is ordered."""
+"""Health reports, request records and orders of a stand-in engine."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class StartRecord(NamedTuple):
-    """A request that reached the engine, and when by the engine's clock."""
+    """A request that reached the engine at time `at` of the engine's clock."""
 
     request: str
     version: str
@@ -15,7 +15,7 @@
 
 
 class Health(msgspec.Struct, kw_only=True, frozen=True):
-    """What an engine reports of itself."""
+    """An engine's health report."""
 
     incarnation: str
     cold: bool
@@ -25,7 +25,7 @@
 
 
 class Order(msgspec.Struct, kw_only=True, frozen=True):
-    """An order to the engine, such as `load MODEL/LABEL`, with its fence."""
+    """An order to the engine, such as `load MODEL/LABEL`, with its fencing number."""
 
     order: str
     fence: int
--- a/eelgrassrack/standins/server.py
+++ b/eelgrassrack/standins/server.py
@@ -1,4 +1,4 @@
-"""Start, cut and stop a tornado HTTP server on a port that stays its own."""
+"""A Tornado HTTP server that can drop connections and restart on the same port."""
 
 import socket
 import weakref
@@ -16,32 +16,32 @@
     """An HTTP server that can close all of its connections at once."""
 
     def initialize(self, *args: Any, **kwargs: Any) -> None:
-        """Set the server up with no connections."""
+        """Initialise the server; Tornado calls this instead of `__init__`."""
         self._open_streams = weakref.WeakSet()
         super().initialize(*args, **kwargs)
 
     def handle_stream(
         self, stream: tornado.iostream.IOStream, address: tuple[str, int]
     ) -> None:
-        """Remember a new connection and send each write at once."""
+        """Track a new connection and disable Nagle's algorithm."""
         stream.set_nodelay(True)
         self._open_streams.add(stream)
         super().handle_stream(stream, address)
 
     def cut_connections(self) -> None:
-        """Close every connection, in mid-answer or not."""
+        """Close all connections, including those in the middle of an answer."""
         for stream in list(self._open_streams):
             stream.close()
 
 
 class StandinServer:
-    """A stand-in's HTTP server: it can refuse connections and come back."""
+    """The HTTP server of a stand-in, which can refuse connections and recover."""
 
-    __slots__ = ("_app", "_holder", "_http", "_url")
+    __slots__ = ("_app", "_port_holder", "_http", "_url")
 
     def __init__(self, *, app: tornado.web.Application) -> None:
         self._app = app
-        self._holder: socket.socket | None = None
+        self._port_holder: socket.socket | None = None
         self._http: CuttableServer | None = None
         self._url = ""
 
@@ -51,30 +51,29 @@
         return self._url
 
     async def start(self, *, port: int = 0, address: str = LOOPBACK) -> None:
-        """Listen at the address; port 0 takes any free port."""
-        # While the server refuses connections nothing listens, and another
-        # process could take the port: the restart would then fail with
-        # "address in use".  A second socket, bound but never listening,
-        # keeps the port without accepting anything.
-        self._holder = socket.socket()
-        self._holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._holder.bind((address, port))
-        host, bound = self._holder.getsockname()
+        """Listen at the address; port 0 picks a free port."""
+        # While the server refuses connections, nothing listens on the port, and
+        # another process could take it; `accept` would then fail with "address in
+        # use".  A second socket that is bound but never listens reserves the port.
+        self._port_holder = socket.socket()
+        self._port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._port_holder.bind((address, port))
+        host, bound = self._port_holder.getsockname()
         self._url = f"http://{host}:{bound}"
         self.accept()
 
     def accept(self) -> None:
-        """Listen for connections (again)."""
-        if self._http is not None or self._holder is None:
+        """Start or resume listening."""
+        if self._http is not None or self._port_holder is None:
             return
-        host, port = self._holder.getsockname()
+        host, port = self._port_holder.getsockname()
         self._http = CuttableServer(self._app)
         self._http.add_sockets(
             tornado.netutil.bind_sockets(port, host, family=socket.AF_INET)
         )
 
     def refuse(self) -> None:
-        """Cut every connection and refuse new ones."""
+        """Close all connections and refuse new ones."""
         if self._http is None:
             return
         self._http.stop()
@@ -82,20 +81,20 @@
         self._http = None
 
     def cut(self) -> None:
-        """Cut every connection but go on listening."""
+        """Close all connections but keep listening."""
         if self._http is not None:
             self._http.cut_connections()
 
     async def stop(self) -> None:
-        """Cut every connection and give the port back."""
+        """Close all connections and release the port."""
         self.refuse()
-        if self._holder is not None:
-            self._holder.close()
-            self._holder = None
+        if self._port_holder is not None:
+            self._port_holder.close()
+            self._port_holder = None
 
 
 class Standin:
-    """Base of the stand-ins that serve HTTP at an address of their own."""
+    """Base of the stand-ins that have an HTTP server."""
 
     def __init__(self, *, app: tornado.web.Application) -> None:
         self._server = StandinServer(app=app)
@@ -106,17 +105,17 @@
         return self._server.url
 
     async def start(self, port: int = 0, address: str = LOOPBACK) -> None:
-        """Listen; port 0 takes any free port."""
+        """Start listening; port 0 picks a free port."""
         await self._server.start(port=port, address=address)
 
     async def stop(self) -> None:
-        """Cut every connection and stop for good."""
+        """Close all connections and stop permanently."""
         await self._server.stop()
 
     def refuse(self) -> None:
-        """Cut every connection and refuse new ones until `accept()`."""
+        """Close all connections and refuse new ones until `accept()`."""
         self._server.refuse()
 
     def accept(self) -> None:
-        """Take connections again."""
+        """Accept connections again."""
         self._server.accept()
--- a/eelgrassrack/standins/service.py
+++ b/eelgrassrack/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service that echoes requests and counts their effects."""
+"""A stand-in for a plain service, which echoes requests and counts executions."""
 
 import asyncio
 import collections
@@ -24,14 +24,15 @@
 
 
 class PlainService(Standin):
-    """A plain service; its public attributes are switches for tests.
-
-    Faults: `delay` (seconds before the effect), `answer_delay` (seconds
-    between effect and answer), `crash_after_effect`, `refuse()` and
-    `accept()`.  `effects` counts executions by the `X-Request-Id` header,
-    which is an attempt's when an agent sends it; `executions` holds each
-    with its body, by which a test knows the caller's request, and
-    `effects_by_key` counts them by the caller's `Idempotency-Key`.
+    """A plain service; tests control it by its public attributes.
+
+    Faults: `delay` (seconds before the effect), `answer_delay` (seconds between
+    effect and answer), `crash_after_effect`, `refuse()` and `accept()`.
+
+    `effects` counts executions by the `X-Request-Id` header, which holds an attempt
+    id if an agent sends the request.  `effects_by_key` counts them by the caller's
+    `Idempotency-Key`.  `executions` holds each execution with its body, by which a
+    test identifies the caller's request.
     """
 
     def __init__(self, *, name: str) -> None:
@@ -44,7 +45,7 @@
         self.effects_by_key: collections.Counter[str] = collections.Counter()
         self.incarnation = secrets.token_hex(6)
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
         app = tornado.web.Application(
             [(r"/.*", ServiceHandler, {"service": self})],
             log_function=lambda handler: None,
@@ -52,7 +53,7 @@
         super().__init__(app=app)
 
     def accept(self) -> None:
-        """Take connections again, as a restarted process."""
+        """Accept connections again, as a restarted process does."""
         self.incarnation = secrets.token_hex(6)
         self._server.accept()
 
@@ -65,25 +66,25 @@
         return len(self.executions)
 
     def count_executions(self, *, body: str) -> int:
-        """Return how often requests with this body were executed."""
+        """Return the number of executions of requests with this body."""
         return sum(each.body == body for each in self.executions)
 
 
 class ServiceHandler(tornado.web.RequestHandler):
-    """Echo any request after counting it, but for health checks."""
+    """Counts and echoes all requests except health checks."""
 
     def initialize(self, *, service: PlainService) -> None:
-        """Keep the service."""
+        """Set the service; Tornado calls this for each request."""
         self.service = service
 
     async def execute(self) -> None:
-        """Answer any method."""
+        """Handle a request with any method."""
         service = self.service
         if self.request.path == HEALTH_PATH:
             self.finish({"incarnation": service.incarnation, "cold": False})
             return
         service.running += 1
-        service.most_running = max(service.most_running, service.running)
+        service.max_running = max(service.max_running, service.running)
         try:
             await asyncio.sleep(service.delay)
             await self._answer()
--- a/eelgrassrack/standins/system.py
+++ b/eelgrassrack/standins/system.py
@@ -1,7 +1,7 @@
-"""A small whole system in one process: daemons and stand-ins on one loop.
+"""A small complete system in one process, with all daemons on one event loop.
 
-Entries, agents and stand-ins are the real classes on loopback sockets.
-The demo, the tests of failures and the fuzzing use it.
+It runs the real entries and agents with the stand-ins, connected by loopback sockets.
+The demo, the failure tests and the fuzzing use it.
 """
 
 import asyncio
@@ -28,13 +28,13 @@
 ANY_MAILBOX = f"tcp://{LOOPBACK_PORT}"
 POLL_SECONDS = 0.01
 
-# Times of a system that is stopped and started all the time.
+# Short, because tests stop and start the system often.
 QUICK_GRACE_SECONDS = 10.0
 QUICK_LAG_SECONDS = 0.2
 
 
 class EndpointPlan(msgspec.Struct, kw_only=True, frozen=True):
-    """An endpoint to be run: its pool and failure domain."""
+    """The name, failure domain and pool of an endpoint to start."""
 
     name: str
     domain: str
@@ -42,7 +42,10 @@
 
 
 class Endpoint:
-    """A running endpoint: its stand-in and the agent beside it."""
+    """A running endpoint: its stand-in and its agent.
+
+    `agent` is None while no agent runs.
+    """
 
     __slots__ = ("agent", "plan", "standin")
 
@@ -71,7 +74,7 @@
         self.invariants = Invariants(strict=False)
         self.entries: dict[str, EntryDaemon] = {}
         self.endpoints: dict[str, Endpoint] = {}
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._engine_options = engine_options
         self._entry_count = entries
         self._entry_domain = entry_domain or plans[0].domain
@@ -79,7 +82,7 @@
         self.operator = DocumentHead(store=self.make_store("operator"))
 
     def make_store(self, caller: str) -> TableStore:
-        """Return the object API as one caller's client."""
+        """Return a client of the object API for one caller."""
         return TableStore(table=self.table, caller=caller)
 
     async def start(self, *, document: str) -> None:
@@ -94,7 +97,7 @@
         await self.wait_ready(revision=head.revision)
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop everything immediately."""
         for name in tuple(self.entries):
             await self.kill_entry(name)
         for endpoint in self.endpoints.values():
@@ -104,7 +107,7 @@
         await self.rating.stop()
 
     async def add_entry(self, name: str) -> EntryDaemon:
-        """Start an entry and put it on the instance list."""
+        """Start an entry and add it to the instance list."""
         entry = EntryDaemon(
             settings=EntrySettings(
                 name=name,
@@ -120,7 +123,7 @@
             instances=self.instances,
             rating=RatingClient(url=self.rating.url),
             invariants=self.invariants,
-            rng=random.Random(self._chance.random()),
+            rng=random.Random(self._rng.random()),
         )
         await entry.start()
         self.entries[name] = entry
@@ -135,20 +138,20 @@
         return entry
 
     async def kill_entry(self, name: str) -> None:
-        """End an entry without a word, as a crash would."""
+        """Kill an entry without a graceful stop, as a crash does."""
         entry = self.entries.pop(name)
         self.instances.remove(name)
         await entry.kill()
 
     async def stop_entry(self, name: str) -> None:
-        """Stop an entry gracefully, as the platform announces it."""
+        """Stop an entry gracefully, marked as leaving on the instance list."""
         entry = self.entries.pop(name)
         self.instances.leave(name)
         await entry.stop()
         self.instances.remove(name)
 
     async def add_endpoint(self, plan: EndpointPlan, snapshot: Snapshot) -> Endpoint:
-        """Start an endpoint's stand-in and the agent beside it."""
+        """Start the stand-in and the agent of an endpoint."""
         standin = self._make_standin(plan, snapshot)
         await standin.start()
         endpoint = Endpoint(plan=plan, standin=standin)
@@ -157,7 +160,7 @@
         return endpoint
 
     async def start_agent(self, name: str) -> None:
-        """Start the agent beside an endpoint."""
+        """Start the agent of an endpoint and add the endpoint to the instance list."""
         endpoint = self.endpoints[name]
         plan = endpoint.plan
         agent = Agent(
@@ -188,13 +191,13 @@
         )
 
     async def kill_agent(self, name: str) -> None:
-        """End an agent without a word, as a crash would."""
+        """Kill an agent without a graceful stop, as a crash does."""
         endpoint = self.endpoints[name]
         agent, endpoint.agent = endpoint.agent, None
         await agent.kill()
 
     async def stop_agent(self, name: str) -> None:
-        """Stop an agent gracefully, as the platform announces it."""
+        """Stop an agent gracefully, marked as leaving on the instance list."""
         endpoint = self.endpoints[name]
         self.instances.leave(name)
         agent, endpoint.agent = endpoint.agent, None
@@ -202,17 +205,21 @@
         self.instances.remove(name)
 
     async def wait_ready(self, *, revision: int, seconds: float = 20.0) -> None:
-        """Wait until every entry knows every agent at a revision."""
+        """Wait until all entries and agents have the revision in force."""
         async with asyncio.timeout(seconds):
             while not self.is_ready(revision=revision):
                 await asyncio.sleep(POLL_SECONDS)
 
     def is_ready(self, *, revision: int) -> bool:
-        """Tell whether the revision is in force and all agents are known."""
-        running = {n for n, e in self.endpoints.items() if e.agent is not None}
+        """Return whether all entries have the revision and know that all agents do."""
+        running = {
+            name
+            for name, endpoint in self.endpoints.items()
+            if endpoint.agent is not None
+        }
         return all(
             entry.core.snapshot.revision >= revision
-            and running <= _find_current(entry, revision)
+            and running <= _find_up_to_date(entry, revision)
             for entry in self.entries.values()
         )
 
@@ -231,8 +238,8 @@
         return Engine(name=plan.name, versions=pool.serves, **options)
 
 
-def _find_current(entry: EntryDaemon, revision: int) -> set[str]:
-    """Return the endpoints whose agents have the revision in force."""
+def _find_up_to_date(entry: EntryDaemon, revision: int) -> set[str]:
+    """Return the names of the endpoints whose agents have the revision in force."""
     return {
         endpoint.name
         for endpoint in entry.directory
--- a/eelgrassrack/standins/waiting.py
+++ b/eelgrassrack/standins/waiting.py
@@ -1,10 +1,10 @@
-"""Wake everyone who waits for the next change."""
+"""Notification of all tasks that wait for a change."""
 
 import asyncio
 
 
-class Changes:
-    """Tasks that wait for something to change."""
+class ChangeNotifier:
+    """Wakes all tasks that wait for the next change."""
 
     __slots__ = ("_waiting",)
 
@@ -13,17 +13,17 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many tasks wait."""
+        """Return the number of waiting tasks."""
         return len(self._waiting)
 
     def notify(self) -> None:
-        """Wake all that wait now."""
+        """Wake all tasks that are waiting."""
         for future in self._waiting:
             if not future.done():
                 future.set_result(None)
 
     async def wait(self, *, timeout: float) -> bool:
-        """Wait for the next change; false at the timeout (seconds)."""
+        """Wait for the next change; return False after `timeout` seconds."""
         future = asyncio.get_running_loop().create_future()
         self._waiting.add(future)
         try:
--- a/test/ports.py
+++ b/test/ports.py
@@ -1,35 +1,36 @@
-"""Ports for daemons that tests and benches start."""
+"""Free ports for daemons that tests and benchmarks start."""
 
 import secrets
 import socket
 
-# Below those that the kernel gives connections by themselves: one of these
-# could be taken by any connection before the daemon listens.
+# Below the kernel's ephemeral ports, because an outgoing connection could take one of
+# those before the daemon listens.
 PORTS = range(12_000, 30_000)
 PORT_TRIES = 1_000
 
-# All that this process has found, held so that no other finds them.
-_held = {}
+# Sockets that reserve the ports found by this process, so that no other process finds
+# them.
+_reserved = {}
 
 
 def find_port():
-    """Return a port that nobody else has, nor another call here.
+    """Return a port that no other process uses and no other call returns.
 
-    It is held for as long as this process lives; a daemon may listen on it at
-    any address all the same, as daemons let addresses be used again.
+    The port stays reserved until this process ends.  A daemon can still listen on it
+    at any address, because daemons set SO_REUSEADDR.
     """
     for _ in range(PORT_TRIES):
         port = secrets.choice(PORTS)
-        if port in _held:
+        if port in _reserved:
             continue
-        holder = socket.socket()
+        reservation = socket.socket()
         try:
-            holder.bind(("0.0.0.0", port))
+            reservation.bind(("0.0.0.0", port))
         except OSError:
-            holder.close()
+            reservation.close()
             continue
-        # Only now: with it set, two processes could hold the same port.
-        holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        _held[port] = holder
+        # Set after bind, because two processes could otherwise bind the same port.
+        reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        _reserved[port] = reservation
         return port
     raise AssertionError("no port is free")
--- a/test/standins/__init__.py
+++ b/test/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins over loopback."""
+"""Tests of the stand-ins over loopback sockets."""
--- a/test/standins/test_engine.py
+++ b/test/standins/test_engine.py
@@ -16,7 +16,7 @@
 
 
 def run(scenario, **options):
-    """Run a scenario against a fresh engine on its own loop."""
+    """Run a scenario with a new engine on its own event loop."""
 
     async def main():
         engine = Engine(
@@ -57,17 +57,17 @@
         client.close()
 
 
-async def until(condition):
+async def wait_until(condition):
     while not condition():
         await asyncio.sleep(0.002)
 
 
-def events_of(chunks):
+def split_events(chunks):
     lines = b"".join(chunks).decode().split("\n\n")
     return [line.removeprefix("data: ") for line in lines if line]
 
 
-def test_plain_answer_is_whole_and_carries_the_request_id():
+def test_plain_answer_is_complete_and_has_the_request_id():
     async def scenario(engine):
         answer = json.loads((await ask(engine)).body)
         assert answer["id"] == "r1"
@@ -79,11 +79,11 @@
     run(scenario)
 
 
-def test_stream_has_a_chunk_a_token_then_stop_usage_and_done():
+def test_stream_has_a_chunk_per_token_then_stop_usage_and_done():
     async def scenario(engine):
         chunks = []
         await ask(engine, stream=True, chunks=chunks)
-        *events, done = events_of(chunks)
+        *events, done = split_events(chunks)
         events = [json.loads(event) for event in events]
         *tokens, stop, usage = events
         assert done == "[DONE]"
@@ -98,20 +98,20 @@
     run(scenario)
 
 
-def test_slots_bound_what_runs_and_the_rest_queues_inside():
+def test_slots_limit_running_requests_and_others_wait():
     async def scenario(engine):
         await asyncio.gather(*(ask(engine, request=str(n)) for n in range(9)))
-        assert engine.most_running == 3
+        assert engine.max_running == 3
         assert engine.whole == 9
 
     run(scenario, slots=3)
 
 
 def test_a_closed_connection_frees_the_slot():
-    """A caller goes away in mid-stream.
+    """A caller disconnects in the middle of a stream.
 
-    An engine that went on would spend its slots on answers that nobody
-    reads, and other callers would wait for them.
+    If the engine continued, it would use slots for answers that nobody reads while
+    other callers wait.
     """
 
     async def scenario(engine):
@@ -126,18 +126,18 @@
         await reader.readuntil(b"data: ")
         assert engine.running == 1
         writer.close()
-        await until(lambda: engine.running == 0)
+        await wait_until(lambda: engine.running == 0)
         assert engine.cancelled == 1
         assert engine.whole == 0
 
     run(scenario, tokens_per_second=100.0)
 
 
-def test_a_cold_engine_falls_over_when_given_too_much():
-    """A restarted engine is given full load before it has warmed up.
+def test_an_overloaded_cold_engine_crashes():
+    """A restarted engine gets full load before it is warm.
 
-    It crashes, everything it held is lost, and it comes back cold: a
-    user sees the same endpoint fail again and again.
+    It crashes, loses all its requests and restarts cold, so users see the same
+    endpoint fail repeatedly.
     """
 
     async def scenario(engine):
@@ -146,13 +146,13 @@
             asyncio.ensure_future(ask(engine, tokens=4000, request=str(n)))
             for n in range(2)
         ]
-        await until(lambda: engine.running == 2)
+        await wait_until(lambda: engine.running == 2)
         with pytest.raises((HTTPClientError, StreamClosedError, OSError)):
             await ask(engine)
         assert engine.overloads == 1
         lost = await asyncio.gather(*slow, return_exceptions=True)
         assert all(isinstance(each, Exception) for each in lost)
-        await until(lambda: engine.incarnation != before)
+        await wait_until(lambda: engine.incarnation != before)
         assert engine.cold
         for _ in range(2):
             await ask(engine)
@@ -163,13 +163,13 @@
     run(scenario, cold_completions=2, cold_slots=2)
 
 
-def test_a_poison_prompt_takes_the_whole_batch_down():
-    """One request crashes the engine, and its caller sends it again."""
+def test_a_query_of_death_crashes_the_whole_batch():
+    """One request crashes the engine; the other requests of the batch are lost."""
 
     async def scenario(engine):
         engine.crash_text = "poison"
         innocent = asyncio.ensure_future(ask(engine, tokens=8000))
-        await until(lambda: engine.running == 1)
+        await wait_until(lambda: engine.running == 1)
         with pytest.raises((HTTPClientError, StreamClosedError, OSError)):
             await ask(engine, prompt="a poison b")
         with pytest.raises((HTTPClientError, StreamClosedError, OSError)):
@@ -193,7 +193,7 @@
         engine.end_early = True
         chunks = []
         await ask(engine, stream=True, chunks=chunks)
-        assert "[DONE]" not in events_of(chunks)
+        assert "[DONE]" not in split_events(chunks)
         with pytest.raises((HTTPClientError, StreamClosedError, OSError)):
             await ask(engine)
         engine.end_early = False
@@ -203,11 +203,11 @@
     run(scenario)
 
 
-def test_an_engine_that_never_answers_holds_the_caller():
+def test_an_engine_that_never_answers_blocks_the_caller():
     async def scenario(engine):
         engine.never_answer = True
         task = asyncio.ensure_future(ask(engine))
-        await until(lambda: engine.running == 1)
+        await wait_until(lambda: engine.running == 1)
         engine.never_answer = False
         await task
         assert engine.whole == 1
@@ -229,7 +229,7 @@
     run(scenario, cache_blocks=12)
 
 
-def test_the_load_report_lags():
+def test_the_health_report_lags():
     clock = [0.0]
 
     async def scenario(engine):
--- a/test/standins/test_objects.py
+++ b/test/standins/test_objects.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in object table without a network."""
+"""Tests of the in-memory object table, without a network."""
 
 import asyncio
 
@@ -93,7 +93,7 @@
 
 
 def test_a_lost_answer_hides_a_write_that_took_effect():
-    """The store writes, and the writer never learns of it."""
+    """A write takes effect, but its answer doesn't reach the writer."""
 
     async def scenario():
         table = ObjectTable(clock=lambda: 0.0)
@@ -110,7 +110,7 @@
     asyncio.run(scenario())
 
 
-def test_an_outage_ends_watches_and_a_cancelled_watch_leaves_nothing():
+def test_an_outage_ends_watches_and_a_cancelled_watch_is_removed():
     async def scenario():
         table = ObjectTable(clock=lambda: 0.0)
         store = TableStore(table=table, caller="entry-1")
--- a/test/standins/test_service.py
+++ b/test/standins/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins for the plain service, ratings and instance list."""
+"""Tests of the stand-ins for the plain service, rating service and instance list."""
 
 import asyncio
 import json
@@ -38,9 +38,9 @@
 
 
 def test_the_service_counts_each_execution_by_its_request():
-    """A service executes a call and dies before it has answered.
+    """A service executes a request and crashes before it answers.
 
-    A router that sent the call again would double a credential.
+    A router that resent the request would issue a second credential.
     """
     service = PlainService(name="registry")
 
@@ -73,7 +73,7 @@
     run(service, scenario)
 
 
-def test_ratings_tell_good_from_weak_and_bad():
+def test_ratings_differ_for_good_weak_and_bad_answers():
     service = RatingService(cheap=["small"])
 
     async def scenario():
@@ -106,7 +106,7 @@
 
 
 def test_the_instance_list_shows_changes_late_and_in_order():
-    """The list lags: an instance that is gone is still shown for a while."""
+    """The list still shows a removed instance for a while."""
     table = InstanceTable()
     api = InstanceListApi(table=table)
 
@@ -132,10 +132,10 @@
     run(api, scenario)
 
 
-def test_an_instance_list_that_is_away_is_asked_less_often():
-    """The list is down while a daemon's watch runs in a loop.
+def test_an_unavailable_instance_list_is_queried_less_often():
+    """The list is down while a daemon watches it in a loop.
 
-    Without a pause the loop would spin and add to what keeps it down.
+    Without backoff the loop would spin and add load that keeps the list down.
     """
     table = InstanceTable()
     api = InstanceListApi(table=table)
@@ -147,7 +147,7 @@
         for _ in range(4):
             result = await client.watch(version=0, timeout=20.0)
             assert isinstance(result, Unavailable)
-        # Three pauses, of at least 0.05, 0.1 and 0.2 seconds.
+        # The backoff pauses three times, for at least 0.05, 0.1 and 0.2 seconds.
         assert asyncio.get_running_loop().time() - started >= 0.34
         client.close()
 
--- a/test/system/__init__.py
+++ b/test/system/__init__.py
@@ -1,1 +1,1 @@
-"""Stateful fuzzing of a whole system in one process."""
+"""Fuzzing of a complete system in one process."""
--- a/test/system/seeds.py
+++ b/test/system/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds that once showed a fault, kept unchanged, each with what it showed."""
+"""Seeds that once revealed a fault, each with a description of the fault."""
 
 SEEDS = {
     1: "a cold engine was given more than it bears",
@@ -7,7 +7,7 @@
     59: "'not run' was said of a request whose retry was refused (withdrawn)",
 }
 
-# Seeds of the soak, which draws thirty steps.
+# Seeds of the soak, which runs thirty steps per seed.
 LONG_STEPS = 30
 LONG_SEEDS = {
     10418: "an agent that found no entry in its whole grace lost its bills",
--- a/test/system/test_system.py
+++ b/test/system/test_system.py
@@ -1,4 +1,4 @@
-"""The whole system under random faults, judged by a simple oracle."""
+"""Fuzzes the complete system with random faults and checks it by an oracle."""
 
 import hypothesis.strategies as st
 import pytest
@@ -31,7 +31,7 @@
 )
 
 
-# A failure isn't shrunk: each run takes seconds, and its steps are few.
+# Failures are not shrunk, because each run takes seconds and has few steps.
 @settings(
     derandomize=True,
     deadline=None,
@@ -53,13 +53,13 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_promise_breaks_under_the_steps_of_a_seed(seed):
-    """Each of these seeds once broke a promise; `SEEDS` says which."""
+    """Each of these seeds once broke a promise; `SEEDS` describes the fault."""
     assert not run_steps(steps=draw_steps(seed=seed), seed=seed).faults
 
 
 @pytest.mark.parametrize("seed", LONG_SEEDS)
 def test_long_seed(seed):
-    """Twice as many faults as above come one after the other.
+    """Run twice as many faults as in the tests above.
 
     These seeds of the soak once left answers unbilled.
     """
--- a/test/test_examples.py
+++ b/test/test_examples.py
@@ -1,4 +1,4 @@
-"""Tests that the examples are sound and as large as the users' systems."""
+"""Tests that the examples are valid and have the size of the users' systems."""
 
 import pathlib
 
@@ -18,19 +18,19 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "rolling", "cascade", "service", "once"),
+    ("name", "rolling", "cascade", "service", "not_repeatable"),
     [
         ("keelwater.ini", "assess", "study", "registry", "POST /credentials"),
         ("cimq.ini", "review", "commentary", "collection", "POST /submissions"),
     ],
 )
-def test_document(name, rolling, cascade, service, once):
+def test_document(name, rolling, cascade, service, not_repeatable):
     snapshot = read_example(name)
     assert len(snapshot.domains) == 3
     assert len(snapshot.organisations) == 10
     assert len(snapshot.models[rolling].versions) == 2
     assert len(snapshot.cascades[cascade].rungs) == 2
-    assert snapshot.services[service].not_repeatable == (once,)
+    assert snapshot.services[service].not_repeatable == (not_repeatable,)
     served = {version for pool in snapshot.pools.values() for version in pool.serves}
     assert served == set(snapshot.versions)
     for organisation in snapshot.organisations.values():
