--- a/eelgrassrack/losses.py
+++ b/eelgrassrack/losses.py
@@ -1,4 +1,4 @@
-"""Finds out from the gateways' logs why requests were late or lost.
+"""Determines from the gateways' logs why requests were late or lost.
 
 A request is lost if its caller got no complete answer.  It is late if the first
 piece of the answer or a pause within it took longer than the objective of its
--- a/eelgrassrack/metrics.py
+++ b/eelgrassrack/metrics.py
@@ -112,7 +112,8 @@
 
     Each metric is one UDP datagram on a non-blocking socket.  If the socket's buffer
     is full, the datagram is dropped, because a lost metric costs less than a
-    delayed request.
+    delayed request.  If a host is set, a method raises `MetricsError` for a metric of
+    another kind and for a wrongly present or missing label.
     """
 
     __slots__ = ("_client", "_clock")
@@ -127,24 +128,24 @@
         self._client = _make_client(settings) if settings.host else None
 
     def count(self, metric: Metric, amount: int = 1, *, label: str = "") -> None:
-        """Add `amount` to a counter; raise `MetricsError` if it is none."""
+        """Add `amount` to a counter."""
         if self._client:
             self._client.incr(_name(metric, Kind.COUNTER, label), amount)
 
     def gauge(self, metric: Metric, value: float, *, label: str = "") -> None:
-        """Set a gauge; raise `MetricsError` if it is none."""
+        """Set a gauge."""
         if self._client:
             self._client.gauge(_name(metric, Kind.GAUGE, label), value)
 
     def time(self, metric: Metric, seconds: float, *, label: str = "") -> None:
-        """Report a duration; raise `MetricsError` if the metric is no timer."""
+        """Report a duration with a timer."""
         if self._client:
             milliseconds = seconds * MILLISECONDS
             self._client.timing(_name(metric, Kind.TIMER, label), milliseconds)
 
     @contextmanager
     def measure(self, metric: Metric, *, label: str = "") -> Iterator[None]:
-        """Report the duration of the block, also if it raises."""
+        """Report the duration of a `with` block, even if the block raises."""
         started = self._clock()
         try:
             yield
