--- a/test/gateway/test_cold_starts.py
+++ b/test/gateway/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""Endpoints in a cold start, to which all gateways send at once."""
+"""Limits on requests to endpoints in a cold start, shared by all gateways."""
 
 import asyncio
 import time
@@ -12,22 +12,24 @@
 
 GATEWAYS = 3
 
-# Of the 20 requests a second that an endpoint of the test's configuration bears.
+# A cold endpoint of the test's configuration handles 20 requests a second, and the
+# gateways together may send this share of them.
 COLD_OVERAGE = 0.1
 MOST_A_SECOND = 20 * COLD_OVERAGE
 
 
 def find_busiest(times):
-    """Return the most requests that fell within one second."""
+    """Return the largest number of requests within any one second."""
     return max(
         sum(start <= at < start + 1.0 for at in times) for start in times or [0.0]
     )
 
 
-def note_sends(monkeypatch):
-    """Return when requests are sent, by their ids, as gateways send them.
+def record_sends(monkeypatch):
+    """Return a dictionary that records when gateways send requests, by their ids.
 
-    What is held up on its way arrives nearer to the next one than it was sent.
+    The times of arrival aren't exact enough: a request delayed on its way arrives
+    closer to the next one than it was sent.
     """
     times = {}
     note_sent = Placer.note_sent
@@ -40,18 +42,20 @@
     return times
 
 
-def list_cold(world, engine):
-    """Return what an endpoint ran while all gateways held it for cold."""
-    until = min(one.fleet.find(engine.name).cold_until for one in world.gateways)
-    return [one for one in engine.runs if one.at < until]
+def list_cold_runs(world, engine):
+    """Return the requests that an endpoint ran while all gateways saw it as cold."""
+    until = min(
+        gateway.fleet.find(engine.name).cold_until for gateway in world.gateways
+    )
+    return [run for run in engine.runs if run.at < until]
 
 
-def list_times(world, engine):
-    """Return when those requests arrived."""
-    return [one.at for one in list_cold(world, engine)]
+def list_cold_times(world, engine):
+    """Return the times at which those requests arrived."""
+    return [run.at for run in list_cold_runs(world, engine)]
 
 
-async def ask_all(world):
+async def call_all(world):
     """Send two requests to each gateway at once; return the answers."""
     calls = (
         world.call("/chat/1", number=number % GATEWAYS, attempt=f"a{number}")
@@ -61,7 +65,7 @@
 
 
 def keep_apart(monkeypatch):
-    """Have gateways neither list nor hear each other."""
+    """Keep gateways from listing each other and from sending updates."""
 
     async def write_late(store, **rest):
         await asyncio.sleep(30.0)
@@ -79,9 +83,9 @@
 
 
 def test_more_gateways_than_a_cold_endpoint_bears_requests_a_second():
-    """Three gateways share a limit of two requests a second, and each has some.
+    """Three gateways share a limit of two requests a second, and each has requests.
 
-    One from each is more than the endpoint bears, and it would crash.
+    One from each would be more than the endpoint can handle, and it would crash.
     """
 
     async def main():
@@ -98,7 +102,7 @@
                     for number in range(GATEWAYS * 2)
                 )
             )
-            assert [one.status for one in answers] == [200] * GATEWAYS * 2
+            assert [answer.status for answer in answers] == [200] * GATEWAYS * 2
             times = sorted(run.at for run in engine.runs)
             cold = [at for at in times if at < times[0] + 1.5]
             assert find_busiest(cold) <= MOST_A_SECOND
@@ -107,9 +111,9 @@
 
 
 def test_gateways_that_havent_found_each_other_yet(monkeypatch):
-    """Gateways begin to serve while the store is too slow to tell of the others.
+    """Gateways begin to serve before the slow store lists the others.
 
-    Each would take itself for the only one and use the whole limit.
+    Each would believe to be the only one and use the whole limit.
     """
     keep_apart(monkeypatch)
 
@@ -122,21 +126,21 @@
                 await world.start_gateway(number=number, cold_overage=COLD_OVERAGE)
             for number in range(GATEWAYS):
                 await world.wait_ready(number)
-            answers = await ask_all(world)
-            assert [one.status for one in answers] == [200] * len(answers)
-            assert find_busiest(list_times(world, engine)) <= MOST_A_SECOND
+            answers = await call_all(world)
+            assert [answer.status for answer in answers] == [200] * len(answers)
+            assert find_busiest(list_cold_times(world, engine)) <= MOST_A_SECOND
 
     run(main())
 
 
 def test_a_slow_connection_doesnt_bring_two_shares_into_one_second(monkeypatch):
-    """A cold endpoint takes its first connection half a second late.
+    """A cold endpoint accepts its first connection half a second late.
 
-    What was placed there before and what is placed a second later would then
-    come within the same second.
+    If requests counted from when they were placed, the delayed one and one placed a
+    second later would both be sent within the same second.
     """
     pauses = iter([0.5])
-    sent = note_sends(monkeypatch)
+    sent = record_sends(monkeypatch)
 
     async def open_late(**rest):
         await asyncio.sleep(next(pauses, 0.0))
@@ -154,8 +158,8 @@
             await asyncio.gather(
                 *(world.call("/chat/1", attempt=f"a{number}") for number in range(3))
             )
-            runs = list_cold(world, engine)
+            runs = list_cold_runs(world, engine)
             assert len(runs) > 1
-            assert find_busiest([sent[one.attempt] for one in runs]) == 1
+            assert find_busiest([sent[run.attempt] for run in runs]) == 1
 
     run(main())
--- a/test/gateway/test_late_arrivals.py
+++ b/test/gateway/test_late_arrivals.py
@@ -1,4 +1,4 @@
-"""Requests that come to a gateway long after it was told to stop."""
+"""Requests that reach a gateway long after its stop signal."""
 
 import asyncio
 import collections
@@ -27,15 +27,15 @@
 
 PERSISTENT_CALLERS = 10
 
-# The head of a request, and the beginning of its body: it keeps a stop open.
+# The head and the beginning of a body of a request; it keeps a stop from ending early.
 HALF = b"POST /look/k HTTP/1.1\r\nHost: api.example\r\nContent-Length: 9\r\n\r\nab"
 
 # A prompt whose answer is expected to take a tenth of a second.
 SHORT_ANSWER = (("X-Token-Usage", "1000,20"),)
 
 
-async def ask_stopping(world, path, *, after, **rest):
-    """Send a request so long after a gateway is told to stop; return the answer."""
+async def call_stopping(world, path, *, after, **rest):
+    """Send a request `after` seconds into a gateway's stop; return the answer."""
     gateway = world.gateways[0]
     keeping = await connect(world.settings[0].listen)
     keeping.send("/once/keep", timeout_ms=LONG_TIMEOUT_MS)
@@ -52,7 +52,7 @@
 
 
 def test_a_stream_that_takes_far_longer_than_expected_isnt_cut_by_a_stop():
-    """A stopping gateway takes a stream that its endpoint then sends too slowly."""
+    """A stopping gateway accepts a stream that its endpoint then sends too slowly."""
 
     async def main():
         async with make_world() as world:
@@ -64,7 +64,7 @@
             )
             await world.start_gateway()
             await world.wait_ready()
-            got = await ask_stopping(
+            got = await call_stopping(
                 world,
                 "/chat/late",
                 after=ROTATION_SECONDS + 0.6,
@@ -77,9 +77,9 @@
 
 
 def test_callers_that_come_until_the_end_are_all_answered_or_refused():
-    """All entries are stopping, and callers come to this one without a pause.
+    """All gateways are stopping, and callers reach this one without a pause.
 
-    Up to the last moment one that connects gets an answer; then none connects.
+    Until the socket is closed, every caller that connects gets an answer.
     """
 
     async def keep_asking(world, answered):
@@ -105,14 +105,14 @@
 
 
 def test_a_request_that_is_never_answered_isnt_dropped_by_a_stop():
-    """A stopping gateway takes a request and its endpoint falls silent."""
+    """A stopping gateway accepts a request, and its endpoint falls silent."""
 
     async def main():
         async with make_world() as world:
             engine = await world.add_engine("e1", Hang(), service="models")
             await world.start_gateway()
             await world.wait_ready()
-            got = await ask_stopping(
+            got = await call_stopping(
                 world, "/final/late", after=2.0, timeout_ms=LONG_TIMEOUT_MS
             )
             assert got.is_whole
@@ -124,7 +124,7 @@
 
 
 def test_a_request_that_was_never_sent_is_said_not_to_have_run(monkeypatch):
-    """A stopping gateway ends while an endpoint still takes no connection."""
+    """A stopping gateway exits while an endpoint still accepts no connection."""
 
     async def never_open(**_):
         await asyncio.sleep(LONG_TIMEOUT_MS / 1_000)
@@ -149,7 +149,7 @@
 
 
 def test_a_request_that_waits_to_be_learned_isnt_dropped_by_a_stop():
-    """A gateway that knows no configuration yet ends while a whole request waits."""
+    """A gateway without a configuration exits while a complete request waits for it."""
 
     async def main():
         async with make_world(configured=False) as world:
@@ -193,35 +193,35 @@
 CALLERS = 150
 
 
-async def add_moody_engines(world, dice):
-    """Add endpoints that do what they like, but stream steadily at first."""
+async def add_faulty_engines(world, rng):
+    """Add endpoints that fail at random, but stream steadily at first."""
     for number in range(3):
-        plain = dice.choices(PLAIN_STEPS, k=200)
+        plain = rng.choices(PLAIN_STEPS, k=200)
         await world.add_engine(f"p{number}", *plain)
-        models = [Events(count=80, gap=0.1), *dice.choices(MODEL_STEPS, k=200)]
+        models = [Events(count=80, gap=0.1), *rng.choices(MODEL_STEPS, k=200)]
         await world.add_engine(f"m{number}", *models, service="models")
 
 
-class Told(msgspec.Struct, kw_only=True, frozen=True):
-    """What a late caller asked for, and what it got within how many seconds."""
+class LateAnswer(msgspec.Struct, kw_only=True, frozen=True):
+    """A late caller's request, its answer, and how many seconds that took."""
 
     attempt: str
     kind: str
-    patience: float
+    timeout: float
     seconds: float
     got: CallerResponse
 
 
-async def ask_late(world, dice, number):
-    """Ask late in a stop; return None when the process has ended already."""
+async def call_late(world, rng, number):
+    """Send a request late in a stop; return None if the process has already ended."""
     last = world.settings[0].grace_seconds - LISTEN_MARGIN_SECONDS
-    await asyncio.sleep(dice.uniform(ROTATION_SECONDS + 0.1, last))
+    await asyncio.sleep(rng.uniform(ROTATION_SECONDS + 0.1, last))
     try:
         caller = await connect(world.settings[0].listen)
     except ConnectionError:
         return None
-    kind = dice.choice(PATHS)
-    timeout_ms = dice.choice((700, 1_500, LONG_TIMEOUT_MS))
+    kind = rng.choice(PATHS)
+    timeout_ms = rng.choice((700, 1_500, LONG_TIMEOUT_MS))
     began = time.monotonic()
     caller.send(
         f"{kind}{number}",
@@ -231,10 +231,10 @@
     )
     got = await caller.read()
     caller.close()
-    return Told(
+    return LateAnswer(
         attempt=str(number),
         kind=kind,
-        patience=timeout_ms / 1_000,
+        timeout=timeout_ms / 1_000,
         seconds=time.monotonic() - began,
         got=got,
     )
@@ -242,44 +242,44 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_each_request_of_a_stop_gets_a_complete_answer(seed):
-    """Callers keep coming to a stopping gateway, and endpoints do what they like.
+    """Callers keep coming to a stopping gateway, and endpoints fail at random.
 
-    The process cuts none: a caller gets an answer that is whole, or a failure that
-    says so, unless its endpoint broke a stream off or its own time was over.  What
-    was refused as not run hasn't run.
+    The process cuts off none of them: each caller gets a complete answer or an
+    explicit failure, unless its endpoint broke the stream off or its own timeout has
+    passed.  A request refused as not run hasn't run.
     """
-    dice = random.Random(seed)
+    rng = random.Random(seed)
 
     async def main():
         async with make_world() as world:
-            await add_moody_engines(world, dice)
+            await add_faulty_engines(world, rng)
             gateway = await world.start_gateway()
             await world.wait_ready()
             keeping = await connect(world.settings[0].listen)
             keeping.send("/once/keep", timeout_ms=LONG_TIMEOUT_MS)
             await asyncio.sleep(0.1)
             stopping = asyncio.ensure_future(gateway.stop())
-            asking = (ask_late(world, dice, number) for number in range(CALLERS))
-            told = await asyncio.gather(*asking, return_exceptions=True)
+            calls = (call_late(world, rng, number) for number in range(CALLERS))
+            answers = await asyncio.gather(*calls, return_exceptions=True)
             await stopping
             keeping.close()
-            check_told([one for one in told if one is not None], world)
+            check_answers([answer for answer in answers if answer is not None], world)
 
     run(main())
 
 
-def check_told(told, world):
-    """Check what callers got against what endpoints ran."""
+def check_answers(answers, world):
+    """Check the callers' answers against what endpoints ran."""
     engines = world.engines.values()
     runs = collections.Counter(run.attempt for engine in engines for run in engine.runs)
     broken = set(itertools.chain.from_iterable(engine.broken for engine in engines))
-    assert [one for one in told if isinstance(one, BaseException)] == []
-    for one in told:
-        if one.kind in {"/issue/", "/once/"}:
-            assert runs[one.attempt] <= (one.got.status != 503)
-        if not one.got.is_whole:
-            # Its endpoint broke it off, or its own time was over.
-            assert one.attempt in broken or one.seconds >= one.patience
-    streams = [one for one in told if one.kind == "/chat/"]
+    assert [one for one in answers if isinstance(one, BaseException)] == []
+    for answer in answers:
+        if answer.kind in {"/issue/", "/once/"}:
+            assert runs[answer.attempt] <= (answer.got.status != 503)
+        if not answer.got.is_whole:
+            # The endpoint broke it off, or the caller's timeout has passed.
+            assert answer.attempt in broken or answer.seconds >= answer.timeout
+    streams = [answer for answer in answers if answer.kind == "/chat/"]
     assert any(one.got.status == 200 and one.got.is_whole for one in streams)
-    assert {one.got.status for one in told} >= {200, 503, 504}
+    assert {answer.got.status for answer in answers} >= {200, 503, 504}
--- a/test/gateway/test_rollouts.py
+++ b/test/gateway/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs through gateways, endpoints of two versions and the store."""
+"""Roll-outs with gateways, endpoints of two versions and the store."""
 
 import asyncio
 import time
@@ -30,8 +30,8 @@
     return old, new
 
 
-async def press(world, *, until, number=0, session=None):
-    """Call again and again until something holds."""
+async def call_until(world, *, until, number=0, session=None):
+    """Send requests until a condition holds; return how many were sent."""
     count = 0
     async with asyncio.timeout(15):
         while not until():
@@ -50,8 +50,8 @@
             await world.start_gateway()
             await world.wait_ready()
             order(world, seconds=3.0)
-            await press(world, until=lambda: world.status_of("plain") == "running")
-            await press(world, until=lambda: world.status_of("plain") == "done")
+            await call_until(world, until=lambda: world.status_of("plain") == "running")
+            await call_until(world, until=lambda: world.status_of("plain") == "done")
             before = sum(len(engine.runs) for engine in old)
             for number in range(10):
                 await world.call(attempt=f"b{number}")
@@ -70,12 +70,12 @@
             await world.start_gateway()
             await world.wait_ready()
             order(world, seconds=60.0)
-            total = await press(
+            total = await call_until(
                 world, until=lambda: world.status_of("plain") == "rolled_back"
             )
             met = sum(len(engine.runs) for engine in new)
             assert met < total * 0.15 + 30
-            await press(world, until=lambda: total)
+            await call_until(world, until=lambda: total)
             after = sum(len(engine.runs) for engine in new)
             for number in range(50):
                 await world.call(attempt=f"c{number}")
@@ -84,8 +84,8 @@
     run(main())
 
 
-def test_evidence_of_all_gateways_counts_together():
-    """Each gateway sees few bad answers; only together they are enough."""
+def test_tallies_of_all_gateways_count_together():
+    """Each gateway sees too few bad answers; only all of them together suffice."""
 
     async def main():
         async with make_world() as world:
@@ -97,7 +97,7 @@
             order(world, seconds=60.0)
             await asyncio.gather(
                 *(
-                    press(
+                    call_until(
                         world,
                         until=lambda: world.status_of("plain") == "rolled_back",
                         number=number,
@@ -130,9 +130,9 @@
 
 
 def test_a_lost_answer_of_the_store_leaves_one_true_status():
-    """The store writes a status and its answer is lost.
+    """The store writes a status, but its answer is lost.
 
-    Written again as another change, it could undo what came between.
+    If the gateway wrote it again as a new change, it could overwrite a later one.
     """
 
     async def main():
@@ -142,16 +142,16 @@
             await world.wait_ready()
             order(world, seconds=3.0)
             world.store.fault = Fault.LOSES_WRITES
-            await press(world, until=lambda: world.status_of("plain") == "running")
+            await call_until(world, until=lambda: world.status_of("plain") == "running")
             await asyncio.sleep(0.5)
             world.store.fault = Fault.NONE
-            await press(world, until=lambda: world.status_of("plain") == "done")
+            await call_until(world, until=lambda: world.status_of("plain") == "done")
 
     run(main())
 
 
 async def count_new(world, new, *, number, asked=60):
-    """Return how many of so many requests go to the new version."""
+    """Return how many of `asked` requests go to the new version."""
     before = sum(len(engine.runs) for engine in new)
     calls = (
         world.call(number=number, attempt=f"n{number}-{one}") for one in range(asked)
@@ -161,10 +161,10 @@
 
 
 def test_a_clock_that_jumped_doesnt_hurry_a_roll_out(monkeypatch):
-    """A gateway starts during a roll-out, its time of day fifty seconds ahead.
+    """A gateway starts during a roll-out with a clock that is 50 seconds ahead.
 
-    Believed, the roll-out's first half would be over at all gateways, and all
-    callers would get a version that nobody has judged.
+    If the clock were trusted, the trial's first half would be over at all gateways,
+    and all callers would get a version that hasn't been judged.
     """
     ahead = 0.0
     clock = types.SimpleNamespace(time=lambda: time.time() + ahead)
@@ -191,9 +191,9 @@
 
 
 def test_a_second_roll_out_doesnt_go_by_the_first_one_s_time():
-    """Operators order the next version after one was taken over.
+    """Operators order the next version after a roll-out has finished.
 
-    The order still holds what was written of the one before, which began long ago.
+    The order still holds the status of the previous one, which began long ago.
     """
 
     async def main():
@@ -214,8 +214,8 @@
     run(main())
 
 
-def test_a_roll_out_goes_on_where_all_gateways_start_anew():
-    """Nobody is left who saw the order: its time is taken from what was written."""
+def test_a_roll_out_continues_after_all_gateways_restart():
+    """No gateway is left that saw it begin, so its start comes from its status."""
 
     async def main():
         async with make_world() as world:
--- a/test/gateway/test_stop.py
+++ b/test/gateway/test_stop.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a gateway."""
+"""Graceful stop of a gateway."""
 
 import asyncio
 import socket
@@ -22,8 +22,8 @@
 def test_a_stop_cuts_no_request():
     """A gateway gets SIGTERM while a stream runs and callers keep connections.
 
-    The balancer is told at once, the stream ends whole, a request that comes
-    within the balancer's delay is served.
+    Its readiness check fails at once, the stream ends complete, and requests that
+    arrive within the balancer's delay are served.
     """
 
     async def main():
@@ -54,9 +54,10 @@
 
 
 def test_a_request_that_lies_unread_isnt_closed_with_the_idle():
-    """A busy process has not read yet what came on an idle connection.
+    """A busy process hasn't read a request yet that came on an idle connection.
 
-    Closed as idle, its caller would not know whether it ran.
+    If the connection were closed as idle, the caller wouldn't know whether the
+    request ran.
     """
 
     async def main():
@@ -79,10 +80,10 @@
 
 
 def test_a_caller_that_has_just_connected_gets_an_answer():
-    """A caller connects to an entry that stops, and its request is on its way.
+    """A caller connects to a stopping gateway, and its request is on its way.
 
-    Closed as idle, its connection would end without any answer, and the caller
-    could only guess whether its request ran.
+    If the connection were closed as idle, the caller would get no answer and could
+    only guess whether its request ran.
     """
 
     async def main():
@@ -101,7 +102,7 @@
 
 
 def test_a_stop_waits_for_the_first_request_of_a_connection():
-    """An entry has nothing left to do, and a caller connects in that moment."""
+    """A caller connects just when a stopping gateway has nothing left to do."""
 
     async def main():
         async with make_world() as world:
@@ -120,11 +121,11 @@
     run(main())
 
 
-def test_a_stop_that_finds_nothing_left_answers_who_connects_just_then(monkeypatch):
-    """A caller connects, and sends a request, while the stop looks a last time.
+def test_a_stop_answers_a_caller_that_connects_during_its_last_check(monkeypatch):
+    """A caller connects and sends a request just after the stop's last check.
 
-    Its connection was made, so that it can't know whether a request ran that
-    gets no answer.
+    Its connection was accepted, so without an answer it couldn't know whether its
+    request ran.
     """
     callers = []
 
@@ -134,17 +135,17 @@
             gateway = await world.start_gateway()
             await world.wait_ready()
             host, port = world.settings[0].listen.rsplit(":", 1)
-            look = Ingress.is_occupied.fget
+            check = Ingress.is_occupied.fget
 
-            def come(ingress):
-                is_occupied = look(ingress)
+            def connect_after_check(ingress):
+                is_occupied = check(ingress)
                 if not is_occupied and not callers:
-                    # Nothing else runs in this process meanwhile.
+                    # This blocks the loop, so nothing else runs meanwhile.
                     callers.append(socket.create_connection((host, int(port))))
                     callers[0].sendall(REQUEST)
                 return is_occupied
 
-            monkeypatch.setattr(Ingress, "is_occupied", property(come))
+            monkeypatch.setattr(Ingress, "is_occupied", property(connect_after_check))
             await gateway.stop()
             with callers[0] as caller:
                 assert caller.recv(12) == b"HTTP/1.1 200"
@@ -153,10 +154,11 @@
 
 
 def test_a_stop_waits_for_a_request_that_lies_unread():
-    """An entry has no request under way, and one has come that it hasn't read.
+    """A gateway has no request in flight, but hasn't read one that has arrived.
 
-    The process was held up for a tenth of a second.  Its caller reserves a lot and
-    may not repeat that; cut, it wouldn't know whether the lot is reserved.
+    The process was stalled for a tenth of a second.  The caller reserves a lot and
+    may not repeat that; if its connection were cut, it wouldn't know whether the lot
+    is reserved.
     """
 
     async def main():
@@ -169,8 +171,8 @@
             assert (await caller.read()).status == 200
             stopping = asyncio.ensure_future(gateway.stop())
             await asyncio.sleep(ROTATION_SECONDS - 0.2)
-            # Nothing in this process runs until the stop goes on, after the
-            # request has come.
+            # The sleep below blocks the loop, so that the request has arrived unread
+            # when the stop continues.
             caller.send("/issue/2", attempt="a2")
             await caller.writer.drain()
             time.sleep(0.3)
@@ -183,7 +185,7 @@
 
 @pytest.mark.parametrize("pause", [0.0, 0.01, 0.1])
 def test_a_stop_waits_for_a_body_that_comes_slowly(pause):
-    """Its head was read before the stop went on, and the rest comes later."""
+    """The head was read before the stop continued, and the rest arrives later."""
 
     async def main():
         async with make_world() as world:
@@ -254,7 +256,7 @@
 
 
 def test_callers_are_served_until_the_process_ends():
-    """Too few others are ready, so the balancer goes on sending callers here."""
+    """Too few other gateways are ready, so the balancer keeps sending callers."""
 
     async def main():
         async with make_world() as world:
@@ -276,10 +278,11 @@
 
 
 def test_a_stream_that_may_outlast_the_process_isnt_begun():
-    """A caller comes to an entry that ends in four seconds.
+    """A caller reaches a gateway that exits in four seconds.
 
-    Its stream may be cut, however short it is expected to be; told that it hasn't
-    run, the caller goes to another entry.  One that waits for less is served.
+    Its stream could be cut, however short it is expected to be.  The gateway says
+    that it hasn't run, so that the caller tries another one.  A caller with a
+    shorter timeout is served.
     """
 
     async def main():
