--- a/eelgrassrack/gateway/follower.py
+++ b/eelgrassrack/gateway/follower.py
@@ -1,7 +1,7 @@
 """Follow the objects of one kind in the platform's store.
 
 A follower lists all objects once and then watches for changes with long polls.  It
-lists anew whenever a watch may have missed a change.
+lists again whenever a watch may have missed a change.
 """
 
 import asyncio
@@ -212,7 +212,7 @@
             self._watching.cancel()
 
     async def _advance(self) -> bool:
-        """List or watch once; return whether the next call may follow at once."""
+        """List or watch once; return whether the next call needs no backoff."""
         self._has_changed = False
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
--- a/eelgrassrack/gateway/storesync.py
+++ b/eelgrassrack/gateway/storesync.py
@@ -146,7 +146,7 @@
         )
 
     def list_newer(self, update: PeerUpdate) -> None:
-        """List each kind anew of which a peer has seen newer changes."""
+        """List each kind again for which a peer reports a newer change."""
         for follower, revision in zip(self.followers, update.revisions, strict=False):
             follower.list_newer(revision)
 
@@ -213,7 +213,7 @@
     def apply_peer_view(self, view: StoreView, name: str) -> None:
         """Apply the newer parts of a view that the peer `name` has sent."""
         log.info(
-            "gateway: store view of {}, store {}, revisions {}",
+            "gateway: beliefs of {}, store {}, revisions {}",
             name,
             "known" if view.knows_store else "lost",
             view.revisions,
--- a/test/gateway/test_cold_starts.py
+++ b/test/gateway/test_cold_starts.py
@@ -113,7 +113,7 @@
 def test_gateways_that_havent_found_each_other_yet(monkeypatch):
     """Gateways begin to serve before the slow store lists the others.
 
-    Each would believe to be the only one and use the whole limit.
+    Each would assume that it is the only one and use the whole limit.
     """
     keep_apart(monkeypatch)
 
--- a/test/gateway/test_follower.py
+++ b/test/gateway/test_follower.py
@@ -46,7 +46,7 @@
     run(main())
 
 
-def test_a_store_that_forgot_its_history_is_listed_anew():
+def test_a_store_that_dropped_its_history_is_listed_again():
     """The store drops its history while a change is made.
 
     The waiting watch then never reports the change, and callers with a revoked key
@@ -284,8 +284,8 @@
 def test_gateways_that_start_together_find_each_other_soon():
     """All gateways start together, and stale lists don't contain them yet.
 
-    Each would believe to be one of a few and watch the store, and each starting
-    endpoint would then cost every gateway a call.
+    Each would assume that there are only a few and watch the store, and every
+    endpoint that starts would cost each gateway a call.
     """
 
     async def main():
--- a/test/gateway/test_late_arrivals.py
+++ b/test/gateway/test_late_arrivals.py
@@ -148,7 +148,7 @@
     run(main())
 
 
-def test_a_request_that_waits_to_be_learned_isnt_dropped_by_a_stop():
+def test_a_request_that_waits_for_a_configuration_is_answered_at_a_stop():
     """A gateway without a configuration exits while a complete request waits for it."""
 
     async def main():
--- a/test/gateway/test_rollouts.py
+++ b/test/gateway/test_rollouts.py
@@ -129,7 +129,7 @@
     run(main())
 
 
-def test_a_lost_answer_of_the_store_leaves_one_true_status():
+def test_a_status_is_right_though_the_store_s_answer_is_lost():
     """The store writes a status, but its answer is lost.
 
     If the gateway wrote it again as a new change, it could overwrite a later one.
@@ -190,7 +190,7 @@
     run(main())
 
 
-def test_a_second_roll_out_doesnt_go_by_the_first_one_s_time():
+def test_a_second_roll_out_doesnt_use_the_first_one_s_start():
     """Operators order the next version after a roll-out has finished.
 
     The order still holds the status of the previous one, which began long ago.
