--- a/bench/fuzz/faults.py
+++ b/bench/fuzz/faults.py
@@ -7,7 +7,7 @@
 from eelgrassrack.standins.engine import Engine
 
 from .calls import Calls
-from .disturbances import Disturbances
+from .faultlog import Disturbances
 from .network import Network
 from .oracle import CRASH, POISON, STOP
 from .rig import Rig
--- a/bench/fuzz/oracle.py
+++ b/bench/fuzz/oracle.py
@@ -7,7 +7,7 @@
 from eelgrassrack.standins.answers import expected_text
 
 from .calls import Call
-from .disturbances import Disturbances
+from .faultlog import Disturbances
 from .operators import OPEN, Operators
 from .rig import ALLOWED, DEADLINE_SECONDS, SERVICE, Rig
 
--- a/bench/fuzz/play.py
+++ b/bench/fuzz/play.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from . import oracle
-from .billed import find_unbilled
+from .billing import find_unbilled
 from .calls import Call, Calls
-from .disturbances import Disturbances
+from .faultlog import Disturbances
 from .faults import Faults
 from .network import Network
 from .operators import Operators
--- a/bench/fuzz/steps.py
+++ b/bench/fuzz/steps.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-LEAST_STEPS = 8
-MOST_STEPS = 16
+MIN_STEPS = 8
+MAX_STEPS = 16
 PICKS = 1 << 16
 WAITS = (0.0, 0.0, 0.05, 0.1, 0.3, 0.6)
 
@@ -76,7 +76,7 @@
     wait: float = 0.0
 
 
-def draw_steps(*, seed: int, most: int = MOST_STEPS) -> list[Step]:
+def draw_steps(*, seed: int, most: int = MAX_STEPS) -> list[Step]:
     """Return the steps of a seed, at most so many, always the same."""
     chance = random.Random(seed)
     return [
@@ -85,5 +85,5 @@
             pick=chance.randrange(PICKS),
             wait=chance.choice(WAITS),
         )
-        for _ in range(chance.randint(LEAST_STEPS, most))
+        for _ in range(chance.randint(MIN_STEPS, most))
     ]
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from bench.fuzz.play import Verdict, run_steps
-from bench.fuzz.steps import MOST_STEPS, draw_steps
+from bench.fuzz.steps import MAX_STEPS, draw_steps
 
 MOST_PROCESSES = 4
 SECONDS_A_MINUTE = 60.0
@@ -51,7 +51,7 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--minutes", type=float, default=5.0)
     parser.add_argument("--processes", type=int, default=MOST_PROCESSES)
-    parser.add_argument("--steps", type=int, default=MOST_STEPS)
+    parser.add_argument("--steps", type=int, default=MAX_STEPS)
     parser.add_argument("--log", action="store_true", help="show the daemons' logs")
     options = parser.parse_args()
     options.processes = max(1, min(options.processes, MOST_PROCESSES))
--- a/test/system/test_system.py
+++ b/test/system/test_system.py
@@ -7,8 +7,8 @@
 from bench.fuzz.play import run_steps
 from bench.fuzz.steps import (
     CHOICES,
-    LEAST_STEPS,
-    MOST_STEPS,
+    MAX_STEPS,
+    MIN_STEPS,
     PICKS,
     WAITS,
     Step,
@@ -26,8 +26,8 @@
         pick=st.integers(0, PICKS - 1),
         wait=st.sampled_from(WAITS),
     ),
-    min_size=LEAST_STEPS,
-    max_size=MOST_STEPS,
+    min_size=MIN_STEPS,
+    max_size=MAX_STEPS,
 )
 
 
