--- a/bench/fuzz/__init__.py
+++ b/bench/fuzz/__init__.py
@@ -1,4 +1,4 @@
-"""Random steps on a whole system against a simple oracle.
+"""Random calls, faults and changes on a whole system, checked by a simple oracle.
 
-The soak runs them for minutes from many seeds, the tests run a few.
+`python -m bench.soak` runs many seeds for minutes; the tests run a few.
 """
--- a/bench/fuzz/calls.py
+++ b/bench/fuzz/calls.py
@@ -1,4 +1,4 @@
-"""Callers of a run and what each of them got."""
+"""The callers of a run, and the answer to each call."""
 
 import asyncio
 import itertools
@@ -7,16 +7,19 @@
 
 from eelgrassrack.standins.caller import CallAnswer, Caller
 
-from .rig import ALLOWED, SERVICE, Rig, make_key
+from .rig import ALLOWED_VERSIONS, SERVICE, Rig, make_api_key
 
-CALL_SECONDS = 25.0
+CALL_TIMEOUT_SECONDS = 25.0
+
+# A caller that gives up closes its connection after this time.
 GIVE_UP_SECONDS = 0.06
 
 
-class Call(msgspec.Struct, kw_only=True):
-    """One call: what was sent where and when, and what came back.
+class SentCall(msgspec.Struct, kw_only=True):
+    """One call: the request, the entry it was sent to, and the answer.
 
-    Times are the loop's.  `gave_up` tells that the caller went away.
+    `began` and `ended` are event loop times in seconds.  `gave_up` is true if the
+    caller closes its connection before the answer.
     """
 
     organisation: str
@@ -34,13 +37,20 @@
     answer: CallAnswer | None = None
 
 
-class Calls:
-    """Send calls through any entry and keep them."""
+class CallSender:
+    """Send calls to the entries and keep all of them in `all`.
+
+    The argument `pick` is a number from which each method derives the details of a
+    call, such as its entry, model and length.  Without any entry nothing is sent
+    and the methods return None.
+    """
 
     def __init__(self, *, rig: Rig) -> None:
-        self.all: list[Call] = []
-        self.last: Call | None = None
-        self._callers = {name: Caller(key=make_key(name)) for name in ALLOWED}
+        self.all: list[SentCall] = []
+        self.last: SentCall | None = None
+        self._callers = {
+            name: Caller(key=make_api_key(name)) for name in ALLOWED_VERSIONS
+        }
         self._numbers = itertools.count(1)
         self._rig = rig
         self._tasks: set[asyncio.Task] = set()
@@ -51,7 +61,7 @@
             caller.close()
 
     async def wait(self) -> None:
-        """Wait until every caller has got something."""
+        """Wait until every call has ended."""
         while self._tasks:
             await asyncio.gather(*self._tasks)
 
@@ -65,7 +75,7 @@
         mark: str = "",
         gave_up: bool = False,
     ) -> asyncio.Task | None:
-        """Send a chat with a prompt of its own."""
+        """Send a chat with a unique prompt; `mark` is the first word of it."""
         model = model or ("small", "large", "large", "large/2")[pick % 4]
         return self._start(
             pick,
@@ -79,16 +89,16 @@
         )
 
     def repeat(self, *, prompt: str, pick: int) -> None:
-        """Send a prompt again, as a caller does that got no answer."""
+        """Send a prompt again, like a caller that got no answer."""
         self._start(pick, organisation="school", model="large", prompt=prompt)
 
     def look_up(self, *, pick: int) -> asyncio.Task | None:
-        """Send a lookup, which may be repeated."""
+        """Send a lookup, which is repeatable."""
         path = f"/v1/services/{SERVICE}/record/{next(self._numbers)}"
         return self._start(pick, organisation="club", path=path)
 
     def issue(self, *, pick: int, key: str = "") -> asyncio.Task | None:
-        """Send what may not be repeated, or send it again under its key."""
+        """Send a request that isn't repeatable, or resend it under `key`."""
         path = f"/v1/services/{SERVICE}/credentials"
         key = key or f"key-{next(self._numbers)}"
         return self._start(pick, organisation="school", path=path, key=key)
@@ -99,7 +109,7 @@
             return None
         now = asyncio.get_running_loop().time()
         entry = names[pick // 16 % len(names)]
-        call = Call(entry=entry, began=now, **fields)
+        call = SentCall(entry=entry, began=now, **fields)
         self.last = call
         self.all.append(call)
         url = self._rig.entries[entry].url
@@ -108,9 +118,9 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _send(self, call: Call, url: str) -> Call:
+    async def _send(self, call: SentCall, url: str) -> SentCall:
         caller = self._callers[call.organisation]
-        seconds = GIVE_UP_SECONDS if call.gave_up else CALL_SECONDS
+        seconds = GIVE_UP_SECONDS if call.gave_up else CALL_TIMEOUT_SECONDS
         if call.path:
             call.answer = await caller.send(
                 url=url + call.path,
--- a/bench/fuzz/oracle.py
+++ b/bench/fuzz/oracle.py
@@ -1,4 +1,4 @@
-"""What must hold of a run, whatever happened in it."""
+"""The checks of a run that must pass whatever faults were injected."""
 
 import collections
 import itertools
@@ -6,98 +6,106 @@
 
 from eelgrassrack.standins.answers import expected_text
 
-from .calls import Call
-from .faultlog import Disturbances
-from .operators import OPEN, Operators
-from .rig import ALLOWED, DEADLINE_SECONDS, SERVICE, Rig
+from .calls import SentCall
+from .faultlog import FaultLog
+from .operators import NOT_ENDED, Operators
+from .rig import ALLOWED_VERSIONS, DEADLINE_SECONDS, SERVICE, Rig
+
+# A change of the document must reach every daemon in this time.
+PROPAGATION_SECONDS = 2.0
 
-IN_FORCE_SECONDS = 2.0
 OK = 200
-POISON = "poison"
+
+# A prompt with this word crashes the engine that runs it.
+QUERY_OF_DEATH = "poison"
+
 CRASH = "crash"
 STOP = "stop"
-YOUNG_SECONDS = 1.0
-MOST_FALLEN = 2
+
+# A request that began this short a time before a stop must still end in time.
+RECENT_SECONDS = 1.0
+
+# A query of death may crash this many engines before entries refuse it.
+MAX_RUNS = 2
+
 SERVICE_PREFIX = f"/v1/services/{SERVICE}"
 NOT_RUN = "not-run"
-RUNS = {NOT_RUN, "ran", "unknown"}
+RUN_VALUES = {NOT_RUN, "ran", "unknown"}
 
-# A call that took this long met its deadline, which may cut an answer.
-LATE_SECONDS = DEADLINE_SECONDS - 0.5
+# A call that took this long may have been cut by its deadline.
+NEAR_DEADLINE_SECONDS = DEADLINE_SECONDS - 0.5
 
-# An agent asks its engine for its state twice a second; in between it can't
-# know of a cold start that came without a warning.
-UNSEEN_SECONDS = 1.0
+# An agent polls its engine's state twice a second, so it notices an unannounced cold
+# start only after some time.
+COLD_DETECTION_SECONDS = 1.0
 
 
-def check_calls(
-    calls: list[Call], disturbances: Disturbances, rig: Rig
-) -> Iterator[str]:
-    """Yield what is wrong with what callers got."""
-    places = find_places(rig)
-    first: dict[str, float] = {}
+def check_calls(calls: list[SentCall], fault_log: FaultLog, rig: Rig) -> Iterator[str]:
+    """Yield the faults of the answers that callers got."""
+    endpoints = find_serving_endpoints(rig)
+    first_began: dict[str, float] = {}
     for call in calls:
-        first.setdefault(call.key, call.began)
+        first_began.setdefault(call.key, call.began)
     for call in calls:
-        # What became of the first run decides what a resend is told.
-        began = first[call.key] if call.key else call.began
-        served = places[name_work(call)]
-        undisturbed = not disturbances.may_cut(
+        # The outcome of the first run under a key decides the answer to a resend.
+        began = first_began[call.key] if call.key else call.began
+        served = endpoints[get_work_key(call)]
+        is_undisturbed = not fault_log.may_have_cut(
             began=began,
             ended=call.ended,
-            places=frozenset({call.entry, *served}) if served else frozenset(),
+            daemons=frozenset({call.entry, *served}) if served else frozenset(),
         )
-        yield from _check_call(call, undisturbed)
+        yield from _check_call(call, is_undisturbed)
 
 
-def find_places(rig: Rig) -> dict[str, set[str]]:
-    """Return the endpoints that each prompt, path or key has reached."""
-    places: dict[str, set[str]] = collections.defaultdict(set)
+def find_serving_endpoints(rig: Rig) -> dict[str, set[str]]:
+    """Return by prompt, path or key the endpoints that ran the request."""
+    endpoints: dict[str, set[str]] = collections.defaultdict(set)
     for name, engine in rig.engines.items():
         for record in engine.started:
-            places[record.prompt].add(name)
+            endpoints[record.prompt].add(name)
     for name, service in rig.services.items():
         for each in service.executions:
-            places[each.key or each.path].add(name)
-    return places
+            endpoints[each.key or each.path].add(name)
+    return endpoints
 
 
-def name_work(call: Call) -> str:
-    """Return the key, path or prompt that an endpoint sees of a call."""
+def get_work_key(call: SentCall) -> str:
+    """Return the key, path or prompt by which an endpoint records a call."""
     return call.key or call.path.removeprefix(SERVICE_PREFIX) or call.prompt
 
 
-def _check_call(call: Call, undisturbed: bool) -> Iterator[str]:
+def _check_call(call: SentCall, is_undisturbed: bool) -> Iterator[str]:
     answer = call.answer
     if answer.status == OK and answer.is_whole:
-        yield from _check_whole(call)
+        yield from _check_completed(call)
         return
-    on_time = call.ended - call.began < LATE_SECONDS
+    on_time = call.ended - call.began < NEAR_DEADLINE_SECONDS
     is_refused = answer.status != 0 and answer.run == NOT_RUN
-    if undisturbed and on_time and not is_refused and not call.gave_up:
+    if is_undisturbed and on_time and not is_refused and not call.gave_up:
         yield f"nothing was wrong, but {describe(call)}"
-    if answer.status not in (0, OK) and answer.run not in RUNS:
+    if answer.status not in (0, OK) and answer.run not in RUN_VALUES:
         yield f"no word whether it was run: {describe(call)}"
 
 
-def _check_whole(call: Call) -> Iterator[str]:
+def _check_completed(call: SentCall) -> Iterator[str]:
     if call.path:
         return
     answer = call.answer
-    if answer.version not in ALLOWED[call.organisation]:
+    if answer.version not in ALLOWED_VERSIONS[call.organisation]:
         yield f"a version that isn't permitted: {describe(call)}"
     if answer.text != expected_text(call.prompt, answer.version, call.max_tokens):
         yield f"not the whole answer: {describe(call)}"
 
 
-def check_stops(
-    calls: list[Call], disturbances: Disturbances, rig: Rig
-) -> Iterator[str]:
-    """Yield requests that ran when their agent was stopped and were cut."""
-    # Poison is sent several times, and nobody knows which of them ran.
-    by_prompt = {call.prompt: call for call in calls if POISON not in call.prompt}
-    for stop in disturbances.find(name=STOP):
-        engine = rig.engines.get(stop.where)
+def check_stops(calls: list[SentCall], fault_log: FaultLog, rig: Rig) -> Iterator[str]:
+    """Yield requests that a stop of their agent cut while they ran."""
+    # A query of death is sent several times, and it is unknown which call ran.
+    by_prompt = {
+        call.prompt: call for call in calls if QUERY_OF_DEATH not in call.prompt
+    }
+    for stop in fault_log.select(name=STOP):
+        engine = rig.engines.get(stop.target)
         for record in engine.started if engine else ():
             call = by_prompt.get(record.prompt)
             if call is None:
@@ -105,19 +113,19 @@
             ran_then = record.at <= stop.began <= call.ended
             if not ran_then or call.gave_up or call.answer.status == OK:
                 continue
-            # One that waited long before it ran may meet its deadline.
-            is_young = stop.began - call.began < YOUNG_SECONDS
-            is_cut = disturbances.may_cut(
+            # A request that waited long before it ran may exceed its deadline.
+            is_recent = stop.began - call.began < RECENT_SECONDS
+            is_cut = fault_log.may_have_cut(
                 began=call.began,
                 ended=call.ended,
-                places=frozenset({call.entry, stop.where}),
+                daemons=frozenset({call.entry, stop.target}),
             )
-            if is_young and not is_cut:
-                yield f"cut by the stop of {stop.where}: {describe(call)}"
+            if is_recent and not is_cut:
+                yield f"cut by the stop of {stop.target}: {describe(call)}"
 
 
-def check_sessions(calls: list[Call]) -> Iterator[str]:
-    """Yield sessions that were answered by two versions of one model."""
+def check_sessions(calls: list[SentCall]) -> Iterator[str]:
+    """Yield sessions that two versions of one model answered."""
     found = collections.defaultdict(set)
     for call in calls:
         if call.session and call.answer.status == OK and call.answer.is_whole:
@@ -128,8 +136,8 @@
             yield f"session {name} was answered by {sorted(versions)}"
 
 
-def check_runs(calls: list[Call], rig: Rig) -> Iterator[str]:
-    """Yield requests that ran although a refusal said that they didn't."""
+def check_runs(calls: list[SentCall], rig: Rig) -> Iterator[str]:
+    """Yield requests that ran although all their answers said "not run"."""
     prompts = {
         record.prompt for engine in rig.engines.values() for record in engine.started
     }
@@ -148,32 +156,37 @@
             yield f"'not run' was untrue: {describe(call)}"
 
 
-def check_poison(
-    calls: list[Call], disturbances: Disturbances, rig: Rig
+def check_queries_of_death(
+    calls: list[SentCall], fault_log: FaultLog, rig: Rig
 ) -> Iterator[str]:
-    """Yield requests that were given to a third engine after two crashed.
+    """Yield queries of death that reached a third engine after two had crashed.
 
-    While other faults are at work the news of a crash may come too late.
+    Requests are skipped if another fault was active at the time, because it may have
+    delayed the report of a crash.
     """
-    given = collections.Counter(
+    runs = collections.Counter(
         record.prompt
         for engine in rig.engines.values()
         for record in engine.started
-        if POISON in record.prompt
+        if QUERY_OF_DEATH in record.prompt
     )
-    for prompt, count in given.items():
+    for prompt, count in runs.items():
         sent = [call for call in calls if call.prompt == prompt]
         began = min(call.began for call in sent)
         ended = max(call.ended for call in sent)
-        others = disturbances.list_others(
-            names=frozenset({POISON, CRASH}), began=began, ended=ended
+        others = fault_log.list_other_faults(
+            names=frozenset({QUERY_OF_DEATH, CRASH}), began=began, ended=ended
         )
-        if count > MOST_FALLEN and not others:
+        if count > MAX_RUNS and not others:
             yield f"{prompt!r} was run {count} times"
 
 
-def check_keys(calls: list[Call], rig: Rig) -> Iterator[str]:
-    """Yield keys that ran twice, or were answered in two ways."""
+def check_keys(calls: list[SentCall], rig: Rig) -> Iterator[str]:
+    """Yield idempotency keys with wrong runs or answers.
+
+    A key may run only once and have only one answer.  An answer needs a run, and a
+    run must not be reported as "not run" to all callers.
+    """
     effects = collections.Counter(each.key for each in _list_executions(rig))
     by_key = collections.defaultdict(list)
     for call in calls:
@@ -191,30 +204,38 @@
             yield f"'not run' was untrue: {describe(sent[0])}"
 
 
-def check_absences(
-    operators: Operators, disturbances: Disturbances, rig: Rig
+def check_exclusions(
+    operators: Operators, fault_log: FaultLog, rig: Rig
 ) -> Iterator[str]:
-    """Yield work that began on what had been out for too long."""
-    for absence in operators.absences:
-        horizon = disturbances.find_horizon(
-            since=absence.began, within=IN_FORCE_SECONDS
+    """Yield endpoints that began work on an excluded version or domain.
+
+    Work is wrong if it began after the change had to be in force everywhere.
+    """
+    for exclusion in operators.exclusions:
+        deadline = fault_log.find_propagation_deadline(
+            since=exclusion.began, within=PROPAGATION_SECONDS
         )
-        for name, at in _list_starts(rig, absence.kind, absence.name):
-            if horizon < at < absence.ended:
+        for name, at in _list_starts(rig, exclusion.kind, exclusion.name):
+            if deadline < at < exclusion.ended:
                 yield (
-                    f"{name} began work {at - absence.began:.2f} s after "
-                    f"{absence.kind} {absence.name} was out"
+                    f"{name} began work {at - exclusion.began:.2f} s after "
+                    f"{exclusion.kind} {exclusion.name} was out"
                 )
 
 
-def find_last_horizon(operators: Operators, disturbances: Disturbances) -> float:
-    """Return when all that is out now must be out everywhere; zero for nothing."""
-    horizons = (
-        disturbances.find_horizon(since=absence.began, within=IN_FORCE_SECONDS)
-        for absence in operators.absences
-        if absence.ended == OPEN
+def find_last_propagation_deadline(operators: Operators, fault_log: FaultLog) -> float:
+    """Return the loop time at which all current exclusions must be in force.
+
+    The result is zero if nothing is excluded.
+    """
+    deadlines = (
+        fault_log.find_propagation_deadline(
+            since=exclusion.began, within=PROPAGATION_SECONDS
+        )
+        for exclusion in operators.exclusions
+        if exclusion.ended == NOT_ENDED
     )
-    return max(horizons, default=0.0)
+    return max(deadlines, default=0.0)
 
 
 def _list_starts(rig: Rig, kind: str, name: str) -> Iterator[tuple[str, float]]:
@@ -226,17 +247,22 @@
 
 
 def check_overloads(rig: Rig) -> Iterator[str]:
-    """Yield engines that were given too much in a cold start."""
+    """Yield engines that got too many requests during a cold start.
+
+    An overload shortly after an unannounced cold start is permitted, because the
+    agent can't know of the cold start yet.
+    """
     for name, engine in rig.engines.items():
         for at in engine.overloaded_at:
             if not any(
-                0 <= at - each <= UNSEEN_SECONDS for each in engine.turned_cold_at
+                0 <= at - each <= COLD_DETECTION_SECONDS
+                for each in engine.unannounced_cold_at
             ):
                 yield f"{name} was given too much in a cold start"
 
 
 def check_invariants(rig: Rig) -> Iterator[str]:
-    """Yield the promises that the program itself saw broken."""
+    """Yield the invariants that the program itself found violated."""
     for promise, count in rig.invariants.broken.items():
         yield f"{promise.value}: broken {count} times"
 
@@ -249,8 +275,8 @@
     )
 
 
-def describe(call: Call) -> str:
-    """Return what was asked and what came back."""
+def describe(call: SentCall) -> str:
+    """Return a description of a call and its answer for a message."""
     what = call.key or call.path or f"{call.prompt!r} for {call.model}"
     answer = call.answer
     return (
--- a/bench/fuzz/rig.py
+++ b/bench/fuzz/rig.py
@@ -1,4 +1,7 @@
-"""The system under test: a document, endpoints and faults of each daemon."""
+"""The system under test, whose daemons can be killed or cut off one by one.
+
+The module also holds the system's document and its plan of endpoints.
+"""
 
 import asyncio
 import contextlib
@@ -15,19 +18,19 @@
 
 DOMAINS = ("east", "west", "north")
 VERSIONS = ("small/1", "large/1", "large/2")
-ALLOWED = {"school": frozenset(VERSIONS), "club": frozenset({"small/1"})}
+ALLOWED_VERSIONS = {"school": frozenset(VERSIONS), "club": frozenset({"small/1"})}
 SERVICE = "registry"
-TOKENS_A_SECOND = 150.0
+TOKENS_PER_SECOND = 150.0
 RESTART_SECONDS = 0.4
 COLD_COMPLETIONS = 3
 DEADLINE_SECONDS = 5.0
 
 
 def _digest(name: str) -> str:
-    return hashlib.sha256(make_key(name).encode()).hexdigest()
+    return hashlib.sha256(make_api_key(name).encode()).hexdigest()
 
 
-def make_key(organisation: str) -> str:
+def make_api_key(organisation: str) -> str:
     """Return an organisation's API key."""
     return f"key-{organisation}"
 
@@ -100,35 +103,36 @@
 ]
 
 
-class WatchedEngine(Engine):
-    """An engine that notes when it was given too much in a cold start.
+class RecordingEngine(Engine):
+    """An engine that records its overloads, crashes and cold starts.
 
-    `turned_cold_at` holds when it turned cold with nothing to show for it: it
-    gave no warning, and no request was cut.
+    `overloaded_at` holds the loop times of requests beyond its limit in a cold start.
+    `unannounced_cold_at` holds the loop times of cold starts that an agent can't
+    notice, because the engine gave no warning and cut no request.
     """
 
     def __init__(self, **options: object) -> None:
         super().__init__(**options)
         self.overloaded_at: list[float] = []
-        self.turned_cold_at: list[float] = []
+        self.unannounced_cold_at: list[float] = []
         self.on_crash: Callable[[str], None] = lambda name: None
         self._was_idle = False
 
-    def submit(self, **given: object) -> object:
-        """Take a request and note whether it was one too many."""
+    def submit(self, **options: object) -> object:
+        """Accept a request and record whether it overloads the engine."""
         before = self.overloads
-        generation = super().submit(**given)
+        generation = super().submit(**options)
         if self.overloads > before:
             self.overloaded_at.append(asyncio.get_running_loop().time())
         return generation
 
-    def make_cold(self, **given: object) -> None:
-        """Fall back into a cold start."""
-        super().make_cold(**given)
-        self.turned_cold_at.append(asyncio.get_running_loop().time())
+    def make_cold(self, **options: object) -> None:
+        """Begin a cold start."""
+        super().make_cold(**options)
+        self.unannounced_cold_at.append(asyncio.get_running_loop().time())
 
     def crash(self) -> None:
-        """Crash, tell it, and note whether that cut a request."""
+        """Call `on_crash`, and crash; remember whether a request was cut."""
         self.on_crash(self.name)
         self._was_idle = not self._batch.size
         super().crash()
@@ -136,34 +140,37 @@
     def _come_back(self) -> None:
         super()._come_back()
         if self._was_idle:
-            self.turned_cold_at.append(asyncio.get_running_loop().time())
+            self.unannounced_cold_at.append(asyncio.get_running_loop().time())
 
 
 class DaemonStore(TableStore):
-    """The object API as one daemon sees it until it is killed.
+    """One daemon's client of the object API.
 
-    `is_cut` keeps this daemon alone from it.
+    If `is_partitioned` is true, this daemon alone can't reach the API.  `is_dead` is
+    set when the daemon is killed, whose calls then fail as well.
     """
 
-    def __init__(self, **given: object) -> None:
-        super().__init__(**given)
-        self.is_cut = False
+    def __init__(self, **options: object) -> None:
+        super().__init__(**options)
+        self.is_partitioned = False
         self.is_dead = False
 
     async def _begin(self, operation: str) -> Unavailable | None:
-        if self.is_dead or self.is_cut:
+        if self.is_dead or self.is_partitioned:
             return Unavailable(reason="cut")
         refusal = await super()._begin(operation)
         return Unavailable(reason="cut") if self.is_dead else refusal
 
-    async def watch(self, **given: object) -> object:
-        """Wait for a change; a daemon that was cut off learns nothing."""
-        found = await super().watch(**given)
-        return Unavailable(reason="cut") if self.is_cut or self.is_dead else found
+    async def watch(self, **options: object) -> object:
+        """Wait for a change, unless this daemon can't reach the API."""
+        found = await super().watch(**options)
+        return (
+            Unavailable(reason="cut") if self.is_partitioned or self.is_dead else found
+        )
 
 
 class Rig(System):
-    """A system whose daemons die as killed processes do."""
+    """A system whose daemons can be killed as a process is killed."""
 
     def __init__(self, *, seed: int) -> None:
         self._stores: dict[str, DaemonStore] = {}
@@ -172,37 +179,37 @@
             entries=2,
             seed=seed,
             cheap=("small",),
-            tokens_per_second=TOKENS_A_SECOND,
+            tokens_per_second=TOKENS_PER_SECOND,
             restart_seconds=RESTART_SECONDS,
             cold_completions=COLD_COMPLETIONS,
         )
 
     def make_store(self, caller: str) -> DaemonStore:
-        """Return the object API as one caller's client."""
+        """Create and return a caller's client of the object API."""
         store = DaemonStore(table=self.table, caller=caller)
         self._stores[caller] = store
         return store
 
     def find_store(self, caller: str) -> DaemonStore:
-        """Return the object API as one caller sees it."""
+        """Return the existing client of a caller."""
         return self._stores[caller]
 
     def connect_stores(self) -> None:
-        """Let every daemon reach the object API again."""
+        """End the partition of every daemon from the object API."""
         for store in self._stores.values():
-            store.is_cut = False
+            store.is_partitioned = False
 
     @property
-    def engines(self) -> dict[str, WatchedEngine]:
+    def engines(self) -> dict[str, RecordingEngine]:
         """Return the engines by name."""
-        return self._find(Engine)
+        return self._find_standins(Engine)
 
     @property
     def services(self) -> dict[str, PlainService]:
         """Return the plain services by name."""
-        return self._find(PlainService)
+        return self._find_standins(PlainService)
 
-    def _find(self, cls: type) -> dict:
+    def _find_standins(self, cls: type) -> dict:
         return {
             name: endpoint.standin
             for name, endpoint in self.endpoints.items()
@@ -210,13 +217,13 @@
         }
 
     async def kill_entry(self, name: str) -> None:
-        """End an entry so that nothing of it goes on, as a dead process."""
+        """Stop all activity of an entry at once, as if its process were killed."""
         entry: EntryDaemon = self.entries.pop(name)
         self.instances.remove(name)
         self._stores[name].is_dead = True
         entry._mailbox.close()
-        # Connections go first: a handler whose work is cancelled while its
-        # caller is still there would answer.
+        # Connections are closed first, because a handler that is cancelled while its
+        # caller is connected would send an answer.
         entry._server.stop()
         await entry._server.close_all_connections()
         for task in (*entry._idempotent_runner._finishing, *entry.core._detached):
@@ -226,11 +233,11 @@
 
     def _make_standin(
         self, plan: EndpointPlan, snapshot: Snapshot
-    ) -> WatchedEngine | PlainService:
+    ) -> RecordingEngine | PlainService:
         pool = snapshot.pools[plan.pool]
         if pool.service:
             return PlainService(name=plan.name)
-        return WatchedEngine(
+        return RecordingEngine(
             name=plan.name,
             versions=pool.serves,
             slots=pool.concurrency,
--- a/bench/fuzz/steps.py
+++ b/bench/fuzz/steps.py
@@ -1,4 +1,4 @@
-"""What may happen to a system: the steps that a run is drawn from."""
+"""The steps of a run: calls, changes and faults, drawn at random from a seed."""
 
 import enum
 import random
@@ -11,8 +11,11 @@
 WAITS = (0.0, 0.0, 0.05, 0.1, 0.3, 0.6)
 
 
-class Kind(enum.Enum):
-    """The kinds of steps."""
+class StepKind(enum.Enum):
+    """The kinds of steps.
+
+    The order of the members determines which steps a seed draws.
+    """
 
     CHAT = "chat"
     BURST = "burst"
@@ -49,41 +52,46 @@
     WAIT = "wait"
 
 
-# Traffic comes more often than faults, or there would be nothing to break.
+# Traffic steps are listed again so that they are drawn more often than faults:
+# a fault without traffic can break nothing.
 TRAFFIC = (
-    Kind.CHAT,
-    Kind.BURST,
-    Kind.BURST,
-    Kind.SESSION,
-    Kind.SESSION,
-    Kind.CASCADE,
-    Kind.LOOKUP,
-    Kind.ISSUE,
-    Kind.ISSUE,
-    Kind.RESEND,
-    Kind.RESEND,
-    Kind.GIVE_UP,
-    Kind.FORBIDDEN,
+    StepKind.CHAT,
+    StepKind.BURST,
+    StepKind.BURST,
+    StepKind.SESSION,
+    StepKind.SESSION,
+    StepKind.CASCADE,
+    StepKind.LOOKUP,
+    StepKind.ISSUE,
+    StepKind.ISSUE,
+    StepKind.RESEND,
+    StepKind.RESEND,
+    StepKind.GIVE_UP,
+    StepKind.FORBIDDEN,
 )
-CHOICES = tuple(Kind) + TRAFFIC
+CHOICES = tuple(StepKind) + TRAFFIC
 
 
 class Step(msgspec.Struct, kw_only=True, frozen=True):
-    """One step: `pick` chooses its details, `wait` is the seconds after it."""
+    """One step of a run.
+
+    `pick` is a number from which the step derives its details; `wait` is the pause
+    after the step in seconds.
+    """
 
-    kind: Kind
+    kind: StepKind
     pick: int = 0
     wait: float = 0.0
 
 
 def draw_steps(*, seed: int, most: int = MAX_STEPS) -> list[Step]:
-    """Return the steps of a seed, at most so many, always the same."""
-    chance = random.Random(seed)
+    """Return the steps of a seed, at most `most`; a seed always draws the same."""
+    rng = random.Random(seed)
     return [
         Step(
-            kind=chance.choice(CHOICES),
-            pick=chance.randrange(PICKS),
-            wait=chance.choice(WAITS),
+            kind=rng.choice(CHOICES),
+            pick=rng.randrange(PICKS),
+            wait=rng.choice(WAITS),
         )
-        for _ in range(chance.randint(MIN_STEPS, most))
+        for _ in range(rng.randint(MIN_STEPS, most))
     ]
--- a/bench/scenarios/__init__.py
+++ b/bench/scenarios/__init__.py
@@ -1,8 +1,8 @@
-"""Scenarios of load in virtual time, played through the decision modules.
+"""Load scenarios that run the project's decision modules in virtual time.
 
-Arrivals pass admission and placement at simulated entries, which know the
-endpoints by lagging reports, then the queue and window of a simulated agent,
-and hold a slot for as long as their tokens take.  There is no network and no
-clock but the event heap.  Each scenario also runs with simple rules in place
-of single modules, in the same run and with the same seeds.
+A request passes admission and placement at a simulated entry, which knows the
+endpoints from delayed reports.  It then passes the queue and the concurrency window of
+a simulated agent and occupies an engine slot for the duration of its tokens.  There is
+no network, and the only clock is the event heap.  Each scenario is repeated with the
+same seeds and a simple rule in place of one module, for comparison.
 """
--- a/bench/scenarios/__main__.py
+++ b/bench/scenarios/__main__.py
@@ -1,4 +1,4 @@
-"""Print the tables of scenarios: `python -m bench.scenarios [name...]`."""
+"""Print the result tables of scenarios: `python -m bench.scenarios [name...]`."""
 
 import dataclasses
 import sys
@@ -7,7 +7,7 @@
 import cappa
 from rich.console import Console
 
-from .answertables import print_away, print_cost, print_rollout, print_weights
+from .answertables import print_cost, print_rating_outage, print_rollout, print_weights
 from .cases import CASES
 from .tables import print_case
 
@@ -15,7 +15,7 @@
 
 ANSWERS = {
     "cost-at-quality": print_cost,
-    "rating-away": print_away,
+    "rating-away": print_rating_outage,
     "bad-version": print_rollout,
     "policy-weights": print_weights,
 }
--- a/bench/scenarios/answertables.py
+++ b/bench/scenarios/answertables.py
@@ -1,4 +1,4 @@
-"""Tables of cost at quality, of roll-outs and of a rating service away."""
+"""Tables of cost at quality, roll-outs and outages of the rating service."""
 
 from collections.abc import Iterable, Sequence
 
@@ -10,10 +10,10 @@
 
 from .answers import (
     CascadeCase,
-    Delivered,
-    FirstRule,
+    CascadeRule,
+    Degradation,
+    DeliveredAnswer,
     RolloutCase,
-    Turn,
     play_cascade,
     play_rollout,
 )
@@ -21,12 +21,12 @@
 from .results import mean, percentile
 from .tables import format_figure, make_table
 
-EVEN = Policy()
+EQUAL_WEIGHTS = Policy()
 
-# The weights of both samples and equal ones, tried on each user's sample.
+# The weights of both samples, and equal weights; each is tried on both samples.
 POLICIES = {
     "Keelwater's 1:3:1": Policy(cost=1, latency=3, exposure=1),
-    "equal 1:1:1": EVEN,
+    "equal 1:1:1": EQUAL_WEIGHTS,
     "CIMQ's 3:1:3": Policy(cost=3, latency=1, exposure=3),
 }
 
@@ -35,8 +35,7 @@
     ("cimq", "commentary", "acier-saguenay"),
 )
 
-# Roll-outs are short, so more of them are played than of the fleet
-# scenarios: this many times the seeds.
+# Roll-outs are short, so each seed of the command line stands for this many runs.
 ROLLOUT_RUNS = 6
 
 
@@ -47,9 +46,9 @@
     *,
     policy: Policy,
     preference: Preference | None = None,
-    away: tuple[int, int] = (0, 0),
+    outage: tuple[int, int] = (0, 0),
 ) -> CascadeCase:
-    """Return a cascade of one of the samples."""
+    """Return a case with a cascade and organisation of one of the samples."""
     snapshot = read_sample(sample)
     customer = snapshot.organisations[organisation]
     return CascadeCase(
@@ -57,34 +56,42 @@
         target=customer.quality_target,
         preference=preference or customer.preference,
         policy=policy,
-        away=away,
+        outage=outage,
         timeout=snapshot.limits.rating_timeout,
     )
 
 
 def measure_cascade(
-    case: CascadeCase, *, rule: FirstRule, seeds: int, part: slice = slice(None)
+    case: CascadeCase, *, rule: CascadeRule, seeds: int, part: slice = slice(None)
 ) -> list[float]:
-    """Return cost by the best model's, good share, rating and waits."""
+    """Return the means of a cascade's figures over the seeds.
+
+    The figures are the cost relative to the best model only, the share of good
+    answers, the rating, and the median, 95th percentile and mean of the seconds to
+    the first token.  `part` selects a part of the requests.
+    """
     rows = []
     for seed in range(1, seeds + 1):
         answers = play_cascade(case, rule=rule, seed=seed)[part]
-        best = play_cascade(case, rule=FirstRule.BEST, seed=seed)[part]
+        best = play_cascade(case, rule=CascadeRule.BEST, seed=seed)[part]
         rows.append(_measure(answers, best))
     return [mean(column) for column in zip(*rows, strict=True)]
 
 
 def measure_rollout(case: RolloutCase, *, is_fixed: bool, seeds: int) -> float:
-    """Return the bad answers delivered, or the new version's if none is bad."""
+    """Return the mean number of bad answers delivered in a roll-out.
+
+    If the version doesn't degrade, the result counts all answers of the new version.
+    """
     found = [
         play_rollout(case, is_fixed=is_fixed, seed=seed)
         for seed in range(1, seeds * ROLLOUT_RUNS + 1)
     ]
-    return mean(one.new if case.turn is None else one.bad for one in found)
+    return mean(one.new if case.degradation is None else one.bad for one in found)
 
 
 def print_cost(*, seeds: int, console: Console) -> None:
-    """Print what each rule and policy costs on the users' samples."""
+    """Print the cost and quality of each rule and policy on the users' samples."""
     console.print(
         "\n## cost-at-quality\n\nCascades of both samples; cost is relative to "
         f"always using the best model. Means of {seeds} seeds.\n"
@@ -106,8 +113,8 @@
     console.print(table)
 
 
-def print_away(*, seeds: int, console: Console) -> None:
-    """Print what happens while the rating service is away."""
+def print_rating_outage(*, seeds: int, console: Console) -> None:
+    """Print the figures of each rule during an outage of the rating service."""
     console.print(
         "\n## rating-away\n\nThe rating service is away for requests 1,000 to "
         f"2,000; figures are of these. Means of {seeds} seeds.\n"
@@ -115,9 +122,9 @@
     table = _make_cascade_table()
     for sample, cascade, organisation in SAMPLES:
         policy = read_sample(sample).policy
-        for rule in FirstRule:
+        for rule in CascadeRule:
             case = make_case(
-                sample, cascade, organisation, policy=policy, away=(1_000, 2_000)
+                sample, cascade, organisation, policy=policy, outage=(1_000, 2_000)
             )
             figures = measure_cascade(
                 case, rule=rule, seeds=seeds, part=slice(1_000, 2_000)
@@ -127,7 +134,7 @@
 
 
 def print_rollout(*, seeds: int, console: Console) -> None:
-    """Print the bad answers delivered after a version at 10% turned bad."""
+    """Print the bad answers of a degraded version with 10% of the traffic."""
     console.print(
         "\n## bad-version\n\nA version at a tenth of the traffic turns bad after "
         "500 of 3,000 requests; one answer in five is rated. Bad answers delivered"
@@ -135,21 +142,23 @@
         "of the new version.\n"
     )
     table = make_table("turn", "policy", "fixed", "module", "same share rated", "ratio")
-    for turn in (None, *Turn):
+    for degradation in (None, *Degradation):
         for label, policy in POLICIES.items():
-            case = RolloutCase(turn=turn, policy=policy)
-            plain = RolloutCase(turn=turn, policy=policy, evens_ratings=False)
+            case = RolloutCase(degradation=degradation, policy=policy)
+            uneven = RolloutCase(
+                degradation=degradation, policy=policy, rates_evenly=False
+            )
             fixed = measure_rollout(case, is_fixed=True, seeds=seeds)
             module = measure_rollout(case, is_fixed=False, seeds=seeds)
-            before = measure_rollout(plain, is_fixed=False, seeds=seeds)
+            before = measure_rollout(uneven, is_fixed=False, seeds=seeds)
             figures = (fixed, module, before, module / fixed)
-            name = "stays sound" if turn is None else turn.value
+            name = "stays sound" if degradation is None else degradation.value
             table.add_row(name, label, *map(format_figure, figures))
     console.print(table)
 
 
 def print_weights(*, seeds: int, console: Console) -> None:
-    """Print what each policy loses by each user's own weights."""
+    """Print the loss under each policy, weighted by each user's own policy."""
     console.print(
         "\n## policy-weights\n\nEach user's cascade (preference latency) and a "
         "version rated 0.2 lower, under three policies. Cost is relative to the "
@@ -168,15 +177,15 @@
                 policy=policy,
                 preference=Preference.LATENCY,
             )
-            figures = _weigh(case, own, seeds)
+            figures = _measure_loss(case, own, seeds)
             table.add_row(sample, label, *map(format_figure, figures))
     console.print(table)
 
 
-def _weigh(case: CascadeCase, own: Policy, seeds: int) -> tuple[float, ...]:
-    cost, *_, time = measure_cascade(case, rule=FirstRule.MODULE, seeds=seeds)
-    *_, slowest = measure_cascade(case, rule=FirstRule.CHEAPEST, seeds=seeds)
-    rollout = RolloutCase(turn=Turn.SLIGHTLY, policy=case.policy)
+def _measure_loss(case: CascadeCase, own: Policy, seeds: int) -> tuple[float, ...]:
+    cost, *_, time = measure_cascade(case, rule=CascadeRule.MODULE, seeds=seeds)
+    *_, slowest = measure_cascade(case, rule=CascadeRule.CHEAPEST, seeds=seeds)
+    rollout = RolloutCase(degradation=Degradation.SLIGHTLY, policy=case.policy)
     fixed = measure_rollout(rollout, is_fixed=True, seeds=seeds)
     bad = measure_rollout(rollout, is_fixed=False, seeds=seeds) / fixed
     time /= slowest
@@ -185,11 +194,11 @@
     return cost, time, bad, loss / total
 
 
-def _list_rules() -> Iterable[tuple[str, FirstRule, Policy]]:
+def _list_rules() -> Iterable[tuple[str, CascadeRule, Policy]]:
     for label, policy in POLICIES.items():
-        yield f"module, {label}", FirstRule.MODULE, policy
-    for rule in (FirstRule.CHEAPEST, FirstRule.BEST, FirstRule.SINGLE):
-        yield rule.value, rule, EVEN
+        yield f"module, {label}", CascadeRule.MODULE, policy
+    for rule in (CascadeRule.CHEAPEST, CascadeRule.BEST, CascadeRule.SINGLE):
+        yield rule.value, rule, EQUAL_WEIGHTS
 
 
 def _make_cascade_table() -> object:
@@ -199,7 +208,7 @@
 
 
 def _measure(
-    answers: Sequence[Delivered], best: Sequence[Delivered]
+    answers: Sequence[DeliveredAnswer], best: Sequence[DeliveredAnswer]
 ) -> tuple[float, ...]:
     firsts = [one.first for one in answers]
     return (
--- a/bench/scenarios/calls.py
+++ b/bench/scenarios/calls.py
@@ -1,4 +1,4 @@
-"""Requests, how they end, and the callers who send them."""
+"""Simulated calls, and the outcome of each time a call was sent."""
 
 import dataclasses
 import enum
@@ -7,8 +7,8 @@
 from eelgrassrack.document.sections import Organisation
 
 
-class End(enum.Enum):
-    """How one sending of a call ended."""
+class SendOutcome(enum.Enum):
+    """The outcome of sending a call once."""
 
     WHOLE = "whole"
     REFUSED = "refused"
@@ -18,32 +18,39 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Call:
-    """What a caller wants; `returns` is how often it may still come back.
+    """A caller's call; `resends` is how often the caller may still send it again.
 
-    `asked` is the expected length of the answer, `tokens` the real one,
-    `prefill` the seconds from its start to its first token.
+    `requested_tokens` is the expected length of the answer, `tokens` the real one.
+    `prefill` is the seconds from the start of a run to the first token, `within` the
+    seconds from sending the call to its deadline.  Requests with the same `affinity`
+    share a prompt prefix.
     """
 
     key: int
-    born: float
+    created_at: float
     organisation: Organisation
     kind: str
-    asked: int
+    requested_tokens: int
     tokens: int
     prefill: float
     within: float
-    returns: int = 0
+    resends: int = 0
     affinity: str | None = None
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Job:
-    """One sending of a call; `done` is called once, with how it ended."""
+    """A call that an entry is handling, after it was sent once.
+
+    `on_done` is called once, with the outcome and the seconds after which a refused
+    caller may try again.  `tries` counts the endpoints it was sent to, `runs` the
+    times it began to run.  Times are in virtual seconds.
+    """
 
     call: Call
     sent: float
     deadline: float
-    done: Callable[["Job", End, float], None]
+    on_done: Callable[["Job", SendOutcome, float], None]
     started: float | None = None
     tries: int = 0
     endpoint: str = ""
@@ -51,18 +58,19 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Sending:
-    """What a caller received for one sending.
+class SendRecord:
+    """The outcome that a caller got after sending a call once.
 
-    `first` is the seconds to the first token, `wait` those until it started;
-    `born` is when the call was first sent.
+    `first` is the seconds from sending to the first token and `wait` those to the
+    start of the run; both are None if it never ran.  `created_at` is the time at
+    which the call was first sent, `retry_after` is in seconds.
     """
 
     call: int
-    born: float
+    created_at: float
     organisation: str
     kind: str
-    end: End
+    end: SendOutcome
     sent: float
     ended: float
     tokens: int
@@ -71,4 +79,4 @@
     retry_after: float
     runs: int
     endpoint: str
-    is_return: bool
+    is_resend: bool
--- a/bench/scenarios/cases.py
+++ b/bench/scenarios/cases.py
@@ -1,4 +1,4 @@
-"""The scenarios that run on a fleet, and the rules each compares."""
+"""The scenarios on a fleet of endpoints, and the rules that each one compares."""
 
 import dataclasses
 import math
@@ -8,35 +8,36 @@
 
 from .fleet import LENGTH_SPREAD, Change, Fleet, Flow, read_sample
 from .results import Result
-from .rules import MODULES, NAIVE, PlacementRule, QueueRule, Rules, change
+from .rules import MODULES, NAIVE, PlacementRule, QueueRule, Rules, make_rules
 
-# Callers who are refused or time out come back so often.
-RETURNS = 3
+# A caller that is refused or times out sends its call again this many times.
+MAX_RESENDS = 3
 
+# The mean of a log-normal length, relative to its median.
 MEAN_FACTOR = math.exp(LENGTH_SPREAD**2 / 2)
 
-FIFO = change("FIFO in place of fair turns", queue=QueueRule.FIFO, reserves=False)
-ADMIT_ALL = change("no admission", admits_all=True)
-OWN_UNKNOWN = change("admission by the whole backlog", knows_own=False)
-NO_RESERVE = change("no reserved slots", reserves=False)
-FREE_RETRIES = change("no retry budget", retries_freely=True)
-FIXED_WINDOW = change("fixed window", fixed_window=True)
-NO_RAMP = change("no ramp", ramps=False)
-COLD_NAIVE = change(
+FIFO = make_rules("FIFO in place of fair turns", queue=QueueRule.FIFO, reserves=False)
+ADMIT_ALL = make_rules("no admission", admits_all=True)
+OWN_UNKNOWN = make_rules("admission by the whole backlog", separates_own=False)
+NO_RESERVE = make_rules("no reserved slots", reserves=False)
+FREE_RETRIES = make_rules("no retry budget", retries_freely=True)
+FIXED_WINDOW = make_rules("fixed window", fixed_window=True)
+NO_RAMP = make_rules("no ramp", ramps=False)
+COLD_NAIVE = make_rules(
     "fixed window, no ramp, no budget",
     fixed_window=True,
     ramps=False,
     retries_freely=True,
 )
 PLACEMENTS = tuple(
-    change(rule.value, placement=rule)
+    make_rules(rule.value, placement=rule)
     for rule in (PlacementRule.ROUND_ROBIN, PlacementRule.RANDOM, PlacementRule.LEAST)
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Group:
-    """Requests whose waits are shown by themselves."""
+    """Requests of one organisation and kind, with a table row of their own."""
 
     organisation: str
     kind: str
@@ -44,7 +45,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Case:
-    """A scenario: the load, what changes in it, and the rules to compare."""
+    """A scenario: the load, changes of the fleet, and the rules to compare.
+
+    `make_flows` gets the capacity of the fleet in tokens a second.  Results before
+    `warm_up` seconds are left out.  `slow` and `cold` are indices of endpoints.
+    """
 
     name: str
     summary: str
@@ -85,27 +90,33 @@
     within: float = 30.0,
     **rest: object,
 ) -> Flow:
-    """Return a flow that asks for `speed` tokens a second."""
+    """Return a flow whose answers have `speed` tokens a second in all.
+
+    `tokens` is the median length of an answer.
+    """
     return Flow(
         organisation=snapshot.organisations[organisation],
         kind=kind,
         rate=speed / (tokens * MEAN_FACTOR),
         tokens=tokens,
         within=within,
-        returns=RETURNS,
+        resends=MAX_RESENDS,
         **rest,
     )
 
 
 def make_quiet(snapshot: Snapshot) -> Flow:
-    """Return one short request a second of a quiet organisation."""
+    """Return a flow of one short request a second by a quiet organisation."""
     return make_flow(
         snapshot, "college-windsor", "short", speed=60.0 * MEAN_FACTOR, tokens=60
     )
 
 
 def mix_keelwater(factor: float, **rest: object) -> Callable[[float], list[Flow]]:
-    """Return Keelwater's callers at a part of what the fleet can do."""
+    """Return a function that makes Keelwater's flows.
+
+    Their load is `factor` times the capacity of the fleet, besides the quiet flow.
+    """
     snapshot = read_sample("keelwater")
     parts = (
         ("candidates", "short", 0.25, 60),
@@ -125,13 +136,16 @@
 
 
 def mix_burst(speed: float) -> list[Flow]:
-    """Return half the load, and four times the capacity for ten seconds."""
+    """Return flows at half the capacity, with a burst.
+
+    The burst adds four times the capacity for ten seconds.
+    """
     burst = mix_keelwater(4.0, start=40.0, stop=50.0)(speed)[1:]
     return mix_keelwater(0.5)(speed) + burst
 
 
 def mix_hot_organisation(speed: float) -> list[Flow]:
-    """Return one organisation at three times the capacity, others at 0.3."""
+    """Return one flow at three times the capacity and others at 0.3 of it."""
     snapshot = read_sample("keelwater")
     hot = make_flow(
         snapshot, "college-toledo", "long", speed=speed * 3, tokens=200, start=20.0
@@ -140,7 +154,7 @@
 
 
 def mix_hot_prefix(speed: float) -> list[Flow]:
-    """Return half the load, a half of which shares one prompt prefix."""
+    """Return flows at half the capacity, half of which share a prompt prefix."""
     snapshot = read_sample("keelwater")
     hot = make_flow(
         snapshot,
@@ -154,7 +168,7 @@
 
 
 def mix_cimq(speed: float) -> list[Flow]:
-    """Return long reviews beyond the capacity, and readers' short requests."""
+    """Return long reviews beyond the capacity, and some short requests."""
     snapshot = read_sample("cimq")
     reviews = [
         make_flow(
@@ -216,8 +230,8 @@
         summary="0.5 of the capacity; half of it shares one prompt prefix.",
         rules=(
             MODULES,
-            change("round robin", placement=PlacementRule.ROUND_ROBIN),
-            change("pinned to its prefix", placement=PlacementRule.PINNED),
+            make_rules("round robin", placement=PlacementRule.ROUND_ROBIN),
+            make_rules("pinned to its prefix", placement=PlacementRule.PINNED),
         ),
         make_flows=mix_hot_prefix,
         groups=(QUIET, Group(organisation="candidates", kind="prefix")),
--- a/bench/scenarios/endpoint.py
+++ b/bench/scenarios/endpoint.py
@@ -1,4 +1,4 @@
-"""A simulated endpoint: its agent's queue and window, and the engine's slots."""
+"""A simulated endpoint: an agent's queue and window, and an engine's slots."""
 
 import collections
 import dataclasses
@@ -18,18 +18,22 @@
 
 SECONDS_PER_TOKEN = 0.033
 
-# A crashed engine is back after so many seconds, cold.
+# A crashed engine restarts cold after this time.
 RESTART_SECONDS = 5.0
 
-# Each whole answer lets a cold engine bear so much more.
-WARMTH = 0.6
+# Each complete answer lets a cold engine run this many more requests at once.
+WARM_UP_SLOTS = 0.6
 
-MOST_WAITING = 512
+MAX_QUEUED = 512
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Report:
-    """What an agent says of its endpoint; entries hear it late."""
+class LoadReport:
+    """An agent's report on the load of its endpoint, which entries get with a delay.
+
+    `drain` is in tokens a second.  `queued_by_organisation` holds the queued tokens
+    by organisation, and by the pair of organisation and whether a request is patient.
+    """
 
     running: int = 0
     queued: int = 0
@@ -37,19 +41,19 @@
     queued_tokens: int = 0
     drain: float = 0.0
     engine_up: bool = True
-    own: dict[object, int] = dataclasses.field(default_factory=dict)
+    queued_by_organisation: dict[object, int] = dataclasses.field(default_factory=dict)
 
 
-def count_own(
+def count_own_ahead(
     own: Mapping[object, int], name: str, *, tokens: int, within: float
 ) -> int:
-    """Return how many of its organisation's tokens an arrival waits for."""
+    """Return how many tokens of its own organisation a request waits for."""
     alike = own.get((name, is_patient(tokens=tokens, within=within)), 0)
     return count_ahead(own=own.get(name, 0), alike=alike)
 
 
 class FifoQueue:
-    """First come, first served; what is late is dropped."""
+    """A first-in, first-out queue that drops requests past their deadline."""
 
     __slots__ = ("_items", "tokens")
 
@@ -67,25 +71,29 @@
         return True
 
     def peek(self, *, now: float) -> QueuedRequest | None:
-        """Return the oldest that isn't late."""
+        """Drop late requests and return the oldest of the others."""
         while self._items and self._items[0].deadline <= now:
             self.tokens -= self._items.popleft().tokens
         return self._items[0] if self._items else None
 
     def pop(self, *, now: float) -> QueuedRequest | None:
-        """Take out the oldest that isn't late."""
+        """Drop late requests, and remove and return the oldest of the others."""
         waiting = self.peek(now=now)
         if waiting is not None:
             self.tokens -= self._items.popleft().tokens
         return waiting
 
     def expire(self, *, now: float) -> list[QueuedRequest]:
-        """Return nothing: late ones are dropped."""
+        """Return nothing, because `peek` drops late requests."""
         return []
 
 
-class Endpoint:
-    """Queue, window and slots; `end` tells the entry how a job ended."""
+class SimulatedEndpoint:
+    """A queue, a concurrency window and the slots of an engine.
+
+    `floor` and `ceiling` are the slots of a cold and a warm engine; an engine that
+    gets more requests than it can run crashes.  `slowness` multiplies the run times.
+    """
 
     def __init__(
         self,
@@ -94,7 +102,7 @@
         name: str,
         domain: str,
         rules: Rules,
-        dice: random.Random,
+        rng: random.Random,
         floor: int = 2,
         ceiling: int = 16,
         slowness: float = 1.0,
@@ -111,12 +119,14 @@
         self.engine_up = True
         self.crashes = 0
         self.busy_tokens = 0.0
-        self._dice = dice
-        self._bears = float(ceiling if is_warm else floor)
+        self._rng = rng
+        self._usable_slots = float(ceiling if is_warm else floor)
         self._drain = Drain()
         self._jobs: dict[str, tuple[Job, Callable]] = {}
         self._running: dict[str, tuple[Job, Callable]] = {}
-        self._own: collections.Counter[object] = collections.Counter()
+        self._queued_by_organisation: collections.Counter[object] = (
+            collections.Counter()
+        )
         self._weights: dict[str, float] = {}
         self._reserve = SlotReserve()
         is_fair = rules.queue is QueueRule.FAIR
@@ -128,20 +138,26 @@
             for _ in range(2 * ceiling):
                 self.window.complete(now=0.0)
 
-    def report(self) -> Report:
+    def report(self) -> LoadReport:
         """Return the load as it is now."""
-        return Report(
+        return LoadReport(
             running=len(self._running),
             queued=len(self._queue),
             window=self.window.size,
             queued_tokens=self._queue.tokens,
             drain=self._drain.find_rate(window=self.window.size),
             engine_up=self.engine_up and self.is_in,
-            own=dict(self._own) if self.rules.knows_own else {},
+            queued_by_organisation=dict(self._queued_by_organisation)
+            if self.rules.separates_own
+            else {},
         )
 
     def offer(self, job: Job, end: Callable[[Job, str], None]) -> None:
-        """Take a job, or tell at once that it isn't run."""
+        """Queue a job, or refuse it at once.
+
+        `end` is called once with the job and its result: "whole", "late", "failed"
+        or "not run".
+        """
         if not self.engine_up or not self.is_in:
             end(job, "not run")
             return
@@ -158,20 +174,20 @@
                 key=key,
                 organisation=call.organisation.name,
                 weight=call.organisation.weight,
-                tokens=call.asked,
+                tokens=call.requested_tokens,
                 deadline=job.deadline,
                 priority=call.organisation.priority,
                 arrived=self.timeline.now,
             )
         )
-        if len(self._queue) > MOST_WAITING and not self.rules.admits_all:
+        if len(self._queue) > MAX_QUEUED and not self.rules.admits_all:
             displaced = self._queue.find_displaced(limit=-1)
             self._queue.discard(key=displaced.key)
-            self._give_back(displaced.key, "not run")
+            self._end_waiting(displaced.key, "not run")
         self._pump()
 
     def crash(self) -> None:
-        """End all that runs, refuse what waits, and restart cold."""
+        """Fail all running jobs, refuse the queued ones, and restart cold."""
         self.crashes += 1
         self._go_cold(CollapseReason.ENGINE_FAILED)
         self.engine_up = False
@@ -181,18 +197,18 @@
         self._running.clear()
         self._refuse_waiting()
 
-    def leave(self) -> None:
-        """Start nothing more; what runs may end."""
+    def take_out(self) -> None:
+        """Start no more jobs and refuse the queued ones; running jobs may end."""
         self.is_in = False
         self._refuse_waiting()
 
-    def come_back(self) -> None:
-        """Serve again, cold."""
+    def bring_back(self) -> None:
+        """Accept jobs again, with a cold engine."""
         self.is_in = True
         self._go_cold(CollapseReason.ENGINE_RESTARTED)
 
     def _go_cold(self, reason: CollapseReason) -> None:
-        self._bears = float(self.floor)
+        self._usable_slots = float(self.floor)
         self.window.collapse(now=self.timeline.now, reason=reason)
 
     def _restart(self) -> None:
@@ -204,29 +220,31 @@
             if key not in self._running:
                 if isinstance(self._queue, FairQueue):
                     self._queue.discard(key=key)
-                self._give_back(key, "not run")
+                self._end_waiting(key, "not run")
         if not isinstance(self._queue, FairQueue):
             self._queue = FifoQueue()
 
     def _is_too_late(self, job: Job) -> bool:
         organisation = job.call.organisation
         self._weights[organisation.name] = organisation.weight
-        waiting = {name for name in self._own if isinstance(name, str)}
+        waiting = {
+            name for name in self._queued_by_organisation if isinstance(name, str)
+        }
         waiting.add(organisation.name)
         wait = estimate_wait(
             arrival=Arrival(
                 organisation=organisation.name,
-                tokens=job.call.asked,
+                tokens=job.call.requested_tokens,
                 within=job.deadline - self.timeline.now,
             ),
             weight=organisation.weight,
             backlog=Backlog(
                 tokens=self._queue.tokens,
                 drain=self._drain.find_rate(window=self.window.size),
-                own=count_own(
-                    self._own,
+                own=count_own_ahead(
+                    self._queued_by_organisation,
                     organisation.name,
-                    tokens=job.call.asked,
+                    tokens=job.call.requested_tokens,
                     within=job.call.within,
                 ),
                 weights=sum(self._weights[name] for name in waiting),
@@ -245,7 +263,7 @@
                 break
             self._start(waiting)
         for waiting in self._queue.expire(now=now):
-            self._give_back(waiting.key, "late")
+            self._end_waiting(waiting.key, "late")
 
     def _take_next(self, now: float) -> QueuedRequest | None:
         if self.rules.queue is QueueRule.FIFO or not self.rules.reserves:
@@ -257,7 +275,7 @@
     def _start(self, waiting: QueuedRequest) -> None:
         job, end = self._jobs.pop(waiting.key)
         self._count_out(job)
-        if len(self._running) >= int(self._bears):
+        if len(self._running) >= int(self._usable_slots):
             end(job, "failed")
             self.crash()
             return
@@ -285,23 +303,25 @@
             end(job, "late")
         else:
             self.window.complete(now=now, began=began)
-            self._bears = min(self._bears + WARMTH, self.ceiling)
-            self._drain.observe(tokens=job.call.asked, seconds=now - began)
+            self._usable_slots = min(self._usable_slots + WARM_UP_SLOTS, self.ceiling)
+            self._drain.observe(tokens=job.call.requested_tokens, seconds=now - began)
             end(job, "whole")
         self._pump()
 
-    def _give_back(self, key: str, word: str) -> None:
+    def _end_waiting(self, key: str, result: str) -> None:
         job, end = self._jobs.pop(key)
         self._count_out(job)
-        end(job, word)
+        end(job, result)
 
     def _count_out(self, job: Job) -> None:
         self._count(job, -1)
 
     def _count(self, job: Job, sign: int) -> None:
         name = job.call.organisation.name
-        patient = is_patient(tokens=job.call.asked, within=job.deadline - job.sent)
+        patient = is_patient(
+            tokens=job.call.requested_tokens, within=job.deadline - job.sent
+        )
         for key in (name, (name, patient)):
-            self._own[key] += sign * job.call.asked
-            if self._own[key] <= 0:
-                del self._own[key]
+            self._queued_by_organisation[key] += sign * job.call.requested_tokens
+            if self._queued_by_organisation[key] <= 0:
+                del self._queued_by_organisation[key]
--- a/bench/scenarios/events.py
+++ b/bench/scenarios/events.py
@@ -1,4 +1,4 @@
-"""Virtual time: a heap of events."""
+"""Virtual time, driven by a heap of events."""
 
 import heapq
 import itertools
@@ -8,7 +8,11 @@
 
 
 class Timeline:
-    """Events in order of time; `now` is the time of the current one."""
+    """Run events in the order of their times.
+
+    `now` is the time of the current event in seconds.  Events with the same time run
+    in the order in which they were added.
+    """
 
     __slots__ = ("_heap", "_numbers", "now")
 
@@ -22,11 +26,11 @@
         heapq.heappush(self._heap, (time, next(self._numbers), action))
 
     def after(self, seconds: float, action: Action) -> None:
-        """Call `action` so many seconds from now."""
+        """Call `action` in `seconds` from now."""
         self.at(self.now + seconds, action)
 
     def run(self, *, until: float) -> None:
-        """Work off the events up to a time."""
+        """Run all events up to and including the time `until`."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, action = heapq.heappop(self._heap)
             action()
--- a/bench/scenarios/rules.py
+++ b/bench/scenarios/rules.py
@@ -1,18 +1,18 @@
-"""Which rule decides in a run: the project's modules or simple ones."""
+"""The rules of a run: the project's decision modules, or simple replacements."""
 
 import dataclasses
 import enum
 
 
 class QueueRule(enum.Enum):
-    """In what order an agent serves what waits."""
+    """The order in which an agent serves queued requests."""
 
     FAIR = "fair"
     FIFO = "fifo"
 
 
 class PlacementRule(enum.Enum):
-    """How an entry picks an endpoint."""
+    """How an entry chooses an endpoint."""
 
     MODULE = "module"
     ROUND_ROBIN = "round robin"
@@ -23,12 +23,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Rules:
-    """One way to decide everything.
+    """The rule for each decision of a run.
 
-    `admits_all` leaves out admission, `retries_freely` the retry budget,
-    `fixed_window` the cold start, `ramps` the ramp of returning domains.
-    `reserves` keeps slots for organisations below their share; `knows_own`
-    tells admission how much of a backlog is the organisation's own.
+    `admits_all` disables admission control, `retries_freely` the retry budget, and
+    `fixed_window` the smaller window of a cold start.  `ramps` raises the load of
+    returning domains step by step.  `reserves` keeps slots for organisations below
+    their share.  With `separates_own` admission knows how much of a backlog belongs
+    to the caller's own organisation.
     """
 
     name: str = "modules"
@@ -39,7 +40,7 @@
     fixed_window: bool = False
     ramps: bool = True
     reserves: bool = True
-    knows_own: bool = True
+    separates_own: bool = True
 
 
 MODULES = Rules()
@@ -52,10 +53,10 @@
     fixed_window=True,
     ramps=False,
     reserves=False,
-    knows_own=False,
+    separates_own=False,
 )
 
 
-def change(name: str, **changes: object) -> Rules:
-    """Return the modules' rules but for the given changes."""
+def make_rules(name: str, **changes: object) -> Rules:
+    """Return the rules of the modules with the given changes."""
     return dataclasses.replace(MODULES, name=name, **changes)
--- a/bench/scenarios/tables.py
+++ b/bench/scenarios/tables.py
@@ -7,12 +7,19 @@
 from rich.console import Console
 from rich.table import Table
 
-from .calls import End
+from .calls import SendOutcome
 from .cases import Case, Group
-from .results import Result, firsts, mean, percentile, served, share
+from .results import (
+    Result,
+    find_served_seconds,
+    find_share,
+    list_first_token_seconds,
+    mean,
+    percentile,
+)
 from .rules import Rules
 
-PARTS = (0.5, 0.95, 0.99)
+PERCENTILES = (0.5, 0.95, 0.99)
 
 
 def run_case(case: Case, *, seeds: int) -> dict[Rules, list[Result]]:
@@ -57,7 +64,7 @@
 
 
 def make_table(*names: str) -> Table:
-    """Return a table that is Markdown when printed."""
+    """Return a table that prints as Markdown."""
     table = Table(box=box.MARKDOWN, show_edge=True)
     for number, name in enumerate(names):
         table.add_column(name, justify="left" if number == 0 else "right", no_wrap=True)
@@ -65,7 +72,7 @@
 
 
 def format_figure(value: float) -> str:
-    """Return a figure in three digits, or a dash if there is none."""
+    """Return a figure with about three digits, or a dash if it is NaN."""
     if math.isnan(value):
         return "-"
     if abs(value) >= 100:
@@ -74,8 +81,13 @@
 
 
 def find_p95(runs: Sequence[Result], group: Group) -> float:
-    """Return the mean over seeds of a group's 95th percentile to first token."""
-    return mean(percentile(firsts(_select(run, group)), 0.95) for run in runs)
+    """Return the 95th percentile of a group's seconds to the first token.
+
+    The result is the mean of the seeds' percentiles.
+    """
+    return mean(
+        percentile(list_first_token_seconds(_select(run, group)), 0.95) for run in runs
+    )
 
 
 def _select(run: Result, group: Group) -> list:
@@ -88,14 +100,14 @@
 
 
 def _measure(run: Result) -> list[float]:
-    sendings = run.select()
-    times = served(sendings).values()
+    records = run.select()
+    times = find_served_seconds(records).values()
     answered = [time for time in times if time is not None]
     return [
         run.goodput(),
         len(answered) / max(len(times), 1),
         percentile(answered, 0.95),
-        *(share(sendings, end) for end in End),
+        *(find_share(records, end) for end in SendOutcome),
         run.retry_share(),
         float(run.crashes),
     ]
@@ -104,14 +116,16 @@
 def _describe_group(runs: Sequence[Result], group: Group) -> list[str]:
     rows = []
     for run in runs:
-        sendings = _select(run, group)
-        waits = firsts(sendings)
-        backs = [one.retry_after for one in sendings if one.end is End.REFUSED]
+        records = _select(run, group)
+        waits = list_first_token_seconds(records)
+        retry_seconds = [
+            one.retry_after for one in records if one.end is SendOutcome.REFUSED
+        ]
         rows.append(
             [
-                *(percentile(waits, part) for part in PARTS),
-                share(sendings, End.WHOLE),
-                percentile(backs, 0.5),
+                *(percentile(waits, part) for part in PERCENTILES),
+                find_share(records, SendOutcome.WHOLE),
+                percentile(retry_seconds, 0.5),
             ]
         )
     return [format_figure(mean(column)) for column in zip(*rows, strict=True)]
