--- a/bench/fuzz/faults.py
+++ b/bench/fuzz/faults.py
@@ -13,6 +13,7 @@
 from .rig import Rig
 from .steps import StepKind
 
+# How long a fault lasts.
 DURATIONS_SECONDS = (0.3, 0.8, 1.5, 2.6, 3.4)
 
 # A daemon is stopped this long after a burst of calls, while it serves them.
--- a/bench/fuzz/oracle.py
+++ b/bench/fuzz/oracle.py
@@ -22,7 +22,7 @@
 CRASH = "crash"
 STOP = "stop"
 
-# A request that began this short a time before a stop must still end in time.
+# A request sent less than this time before a stop must complete despite the stop.
 RECENT_SECONDS = 1.0
 
 # A query of death may crash this many engines before entries refuse it.
--- a/bench/scenarios/answers.py
+++ b/bench/scenarios/answers.py
@@ -153,7 +153,8 @@
 
 
 def _draw_rating(rung: Rung, kind: str, rng: random.Random) -> float:
-    # The best model answers hard requests well too; cheap models don't.
+    # Better models lose less on hard requests: a model with quality 0.74 has the whole
+    # shift, a perfect one none.
     shift = (
         EASY_QUALITY_SHIFT
         if kind == "easy"
--- a/bench/scenarios/calls.py
+++ b/bench/scenarios/calls.py
@@ -43,8 +43,8 @@
     """A call that an entry is handling, after it was sent once.
 
     `on_done` is called once, with the outcome and the seconds after which a refused
-    caller may try again.  `tries` counts the endpoints it was sent to, `runs` the
-    times it began to run.  Times are in virtual seconds.
+    caller may try again.  `tries` counts the attempts at endpoints, `runs` the
+    attempts that began to run.  Times are in virtual seconds.
     """
 
     call: Call
--- a/bench/scenarios/endpoint.py
+++ b/bench/scenarios/endpoint.py
@@ -152,23 +152,23 @@
             else {},
         )
 
-    def offer(self, job: Job, end: Callable[[Job, str], None]) -> None:
+    def offer(self, job: Job, on_end: Callable[[Job, str], None]) -> None:
         """Queue a job, or refuse it at once.
 
-        `end` is called once with the job and its result: "whole", "late", "failed"
+        `on_end` is called once with the job and its result: "whole", "late", "failed"
         or "not run".
         """
         if not self.engine_up or not self.is_in:
-            end(job, "not run")
+            on_end(job, "not run")
             return
         if not self.rules.admits_all and self._is_too_late(job):
-            end(job, "not run")
+            on_end(job, "not run")
             return
         self._numbers += 1
         key = f"{self.name}-{self._numbers}"
         call = job.call
-        self._jobs[key] = job, end
-        self._count(job, 1)
+        self._jobs[key] = job, on_end
+        self._add_queued_tokens(job, 1)
         self._queue.push(
             QueuedRequest(
                 key=key,
@@ -192,8 +192,8 @@
         self._go_cold(CollapseReason.ENGINE_FAILED)
         self.engine_up = False
         self.timeline.after(RESTART_SECONDS, self._restart)
-        for job, end in list(self._running.values()):
-            end(job, "failed")
+        for job, on_end in list(self._running.values()):
+            on_end(job, "failed")
         self._running.clear()
         self._refuse_waiting()
 
@@ -273,14 +273,14 @@
         return self._queue.pop(now=now, may_start=may_start)
 
     def _start(self, waiting: QueuedRequest) -> None:
-        job, end = self._jobs.pop(waiting.key)
-        self._count_out(job)
+        job, on_end = self._jobs.pop(waiting.key)
+        self._subtract_queued_tokens(job)
         if len(self._running) >= int(self._usable_slots):
-            end(job, "failed")
+            on_end(job, "failed")
             self.crash()
             return
         now = self.timeline.now
-        self._running[waiting.key] = job, end
+        self._running[waiting.key] = job, on_end
         self._reserve.start(organisation=waiting.organisation, now=now)
         job.started = now
         job.runs += 1
@@ -297,26 +297,26 @@
         found = self._running.pop(key, None)
         if found is None:
             return
-        job, end = found
+        job, on_end = found
         now = self.timeline.now
         if ends > job.deadline:
-            end(job, "late")
+            on_end(job, "late")
         else:
             self.window.complete(now=now, began=began)
             self._usable_slots = min(self._usable_slots + WARM_UP_SLOTS, self.ceiling)
             self._drain.observe(tokens=job.call.requested_tokens, seconds=now - began)
-            end(job, "whole")
+            on_end(job, "whole")
         self._pump()
 
     def _end_waiting(self, key: str, result: str) -> None:
-        job, end = self._jobs.pop(key)
-        self._count_out(job)
-        end(job, result)
+        job, on_end = self._jobs.pop(key)
+        self._subtract_queued_tokens(job)
+        on_end(job, result)
 
-    def _count_out(self, job: Job) -> None:
-        self._count(job, -1)
+    def _subtract_queued_tokens(self, job: Job) -> None:
+        self._add_queued_tokens(job, -1)
 
-    def _count(self, job: Job, sign: int) -> None:
+    def _add_queued_tokens(self, job: Job, sign: int) -> None:
         name = job.call.organisation.name
         patient = is_patient(
             tokens=job.call.requested_tokens, within=job.deadline - job.sent
--- a/bench/scenarios/fleet.py
+++ b/bench/scenarios/fleet.py
@@ -28,7 +28,7 @@
 LENGTH_SPREAD = 0.5
 
 # Callers request this many times the tokens that the answer has.
-ASKED_FACTOR = 1.3
+REQUESTED_TOKENS_FACTOR = 1.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -140,6 +140,7 @@
         self.timeline.run(until=seconds)
         mean_tokens = _find_mean_tokens(flows)
         per_answer = mean_tokens * SECONDS_PER_TOKEN
+        # 1.08 is the mean of the log-normal prefill factor, exp(PREFILL_SPREAD**2 / 2).
         useful = per_answer / (per_answer + PREFILL_SECONDS * 1.08)
         return Result(
             records=self.records,
@@ -169,7 +170,7 @@
             created_at=self.timeline.now,
             organisation=flow.organisation,
             kind=flow.kind,
-            requested_tokens=max(round(tokens * ASKED_FACTOR), 1),
+            requested_tokens=max(round(tokens * REQUESTED_TOKENS_FACTOR), 1),
             tokens=tokens,
             prefill=PREFILL_SECONDS * rng.lognormvariate(0, PREFILL_SPREAD),
             within=flow.within,
--- a/test/bench/test_scenarios.py
+++ b/test/bench/test_scenarios.py
@@ -264,10 +264,7 @@
 
 
 def test_rating_service_away_costs_no_more_than_the_best_model():
-    """Without ratings the cascade uses the best model directly.
-
-    Trying every rung would add cost, because no answer could be accepted early.
-    """
+    """During an outage no answer is rated, so trying every rung gains nothing."""
     case = make_case(
         "cimq", "commentary", "acier-saguenay", policy=Policy(), outage=(500, 1_500)
     )
