--- a/test/entry/test_stop.py
+++ b/test/entry/test_stop.py
@@ -11,7 +11,7 @@
 from eelgrassrack.entry.sessions import Sessions
 from eelgrassrack.standins import system
 
-from ..promises.world import NOT_RUN, REGISTRY, TUTOR_EAST, World, make_narrow
+from ..promises.world import NOT_RUN, REGISTRY, TUTOR_EAST, World, make_serial_document
 
 GRACE_SECONDS = 1.0
 LONG_GRACE_SECONDS = 10.0
@@ -92,7 +92,7 @@
 
 def test_a_request_that_waits_at_the_end_of_the_grace_is_refused(world):
     """Guards against a stop that doesn't answer a queued request."""
-    world.start(plans=[TUTOR_EAST], document=make_narrow())
+    world.start(plans=[TUTOR_EAST], document=make_serial_document())
     world.hold_engines()
     world.ask("fills", entry=1)
     world.wait(lambda: world.standin("tutor-east").started)
--- a/test/promises/conftest.py
+++ b/test/promises/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 from pytest_bdd import given, parsers, then, when
 
-from .world import REGISTRY, TUTOR_EAST, TUTOR_WEST, World, check, make_narrow
+from .world import REGISTRY, TUTOR_EAST, TUTOR_WEST, World, check, make_serial_document
 
 
 @pytest.fixture
@@ -27,13 +27,13 @@
 
 @given("two entries and one engine that runs one request at a time")
 def start_narrow_engine(world):
-    narrow = make_narrow()
+    narrow = make_serial_document()
     world.start(plans=[TUTOR_EAST], document=narrow)
 
 
 @given("two entries and two engines that run one request at a time")
 def start_narrow_engines(world):
-    narrow = make_narrow()
+    narrow = make_serial_document()
     world.start(plans=[TUTOR_EAST, TUTOR_WEST], document=narrow)
 
 
--- a/test/promises/test_assertions.py
+++ b/test/promises/test_assertions.py
@@ -16,11 +16,11 @@
 from eelgrassrack.store import ledger
 from eelgrassrack.store.records import put_record
 
-from .world import TUTOR_EAST, TUTOR_WEST, make_narrow
+from .world import TUTOR_EAST, TUTOR_WEST, make_serial_document
 
 
 def fill_engines(world):
-    world.start(plans=[TUTOR_EAST, TUTOR_WEST], document=make_narrow())
+    world.start(plans=[TUTOR_EAST, TUTOR_WEST], document=make_serial_document())
     world.hold_engines()
     world.fill([world.agent("tutor-east"), world.agent("tutor-west")])
 
--- a/test/promises/test_not_run.py
+++ b/test/promises/test_not_run.py
@@ -9,7 +9,7 @@
 
 from .guards import breaks
 from .links import first_of
-from .world import NOT_RUN, TUTOR_EAST, TUTOR_WEST, check, make_narrow
+from .world import NOT_RUN, TUTOR_EAST, TUTOR_WEST, check, make_serial_document
 
 scenarios("not_run.feature")
 
@@ -65,7 +65,9 @@
 @given("two entries and two engines that stay down after a crash")
 def start_engines(world):
     world.start(
-        plans=[TUTOR_EAST, TUTOR_WEST], document=make_narrow(), restart_seconds=60.0
+        plans=[TUTOR_EAST, TUTOR_WEST],
+        document=make_serial_document(),
+        restart_seconds=60.0,
     )
 
 
--- a/test/promises/world.py
+++ b/test/promises/world.py
@@ -426,7 +426,7 @@
     return sum(each.requests for each in totals.organisations)
 
 
-def make_narrow():
+def make_serial_document():
     """Return the document for engines that run one request at a time."""
     narrow = "concurrency = 1\ncold_concurrency = 1"
     return DOCUMENT.replace("concurrency = 8", narrow)
