--- a/test/processes/__init__.py
+++ b/test/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real daemons as separate processes."""
+"""Tests that run the real daemons as separate processes."""
--- a/test/processes/fleet.py
+++ b/test/processes/fleet.py
@@ -1,4 +1,4 @@
-"""Daemons and stand-ins as separate processes, for tests."""
+"""Runs daemons and stand-ins as separate processes for tests."""
 
 import os
 import signal
@@ -13,7 +13,7 @@
 
 from ..ports import find_port
 
-PATIENCE = 30.0
+TIMEOUT_SECONDS = 30.0
 DOCUMENT = """\
 [team operations]
 sections = *
@@ -42,7 +42,10 @@
 
 
 class Process:
-    """One process and what it printed first."""
+    """A child process and the URLs that it prints when it starts.
+
+    It reads `lines` lines of output, each a name and a URL, into `urls`.
+    """
 
     def __init__(self, *arguments, lines=0):
         self.popen = subprocess.Popen(
@@ -51,26 +54,29 @@
             text=True,
             env=ENVIRONMENT,
         )
-        words = (self.popen.stdout.readline().split() for _ in range(lines))
-        self.urls = {word[0]: word[1] for word in words}
+        rows = (self.popen.stdout.readline().split() for _ in range(lines))
+        self.urls = {row[0]: row[1] for row in rows}
 
-    def send(self, number):
-        self.popen.send_signal(number)
+    def send(self, signal_number):
+        self.popen.send_signal(signal_number)
 
     def wait(self):
-        """Return the exit status and the rest of what was printed."""
-        output, _ = self.popen.communicate(timeout=PATIENCE)
+        """Wait for the exit; return the exit status and the remaining output."""
+        output, _ = self.popen.communicate(timeout=TIMEOUT_SECONDS)
         return self.popen.returncode, output
 
     def close(self):
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.kill()
-        self.popen.communicate(timeout=PATIENCE)
+        self.popen.communicate(timeout=TIMEOUT_SECONDS)
+
 
+def fetch(url, *, method="GET", body=None, headers=None, timeout=TIMEOUT_SECONDS):
+    """Send a request; return the status, headers and body of the response.
 
-def fetch(url, *, method="GET", body=None, headers=None, timeout=PATIENCE):
-    """Return the status, headers and body of any answer."""
+    A status of 400 or more doesn't raise an exception.
+    """
     request = urllib.request.Request(
         url, data=body, method=method, headers=headers or {}
     )
@@ -82,7 +88,7 @@
 
 
 class Fleet:
-    """A platform, endpoints with their agents, and entries."""
+    """A platform stand-in, agents with their endpoints, and entries."""
 
     def __init__(self, directory):
         self.directory = directory
@@ -102,7 +108,7 @@
             process.close()
 
     def run(self, *arguments):
-        """Run an operator's command to its end; return status and output."""
+        """Run an operator's command; return its exit status and output."""
         objects = ("--objects", self.platform.urls["objects"])
         process = self.start("eelgrassrack", *arguments, *objects)
         return process.wait()
@@ -158,37 +164,40 @@
         fetch(url, method="DELETE")
 
     def wait_ready(self, *, revision=1, agents=None):
-        """Wait until every entry knows its agents at a revision."""
-        wanted = len(self.agents) if agents is None else agents
-        ends_at = time.monotonic() + PATIENCE
+        """Wait until every entry has a revision and sees the agents have it.
+
+        `agents` is how many agents are needed; by default all of them.
+        """
+        agent_count = len(self.agents) if agents is None else agents
+        ends_at = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < ends_at:
             if all(
-                self._is_ready(url, revision, wanted)
+                self._is_ready(url, revision, agent_count)
                 for url in self.entry_urls.values()
             ):
                 return
             time.sleep(0.05)
-        raise AssertionError("the fleet never became ready")
+        raise AssertionError("the fleet did not become ready")
 
     def wait_queued(self, entry, endpoint):
-        """Wait until requests wait at an endpoint's agent."""
-        ends_at = time.monotonic() + PATIENCE
+        """Wait until an entry reports requests queued at an endpoint's agent."""
+        ends_at = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < ends_at:
             _, _, body = fetch(f"{self.entry_urls[entry]}/status")
             found = msgspec.json.decode(body)["endpoints"]
             if any(each["name"] == endpoint and each["queued"] for each in found):
                 return
             time.sleep(0.05)
-        raise AssertionError("nothing ever waited")
+        raise AssertionError("no request was queued")
 
-    def _is_ready(self, url, revision, wanted):
+    def _is_ready(self, url, revision, agent_count):
         try:
             _, _, body = fetch(f"{url}/status", timeout=2)
         except OSError:
             return False
         status = msgspec.json.decode(body)
         current = [e for e in status["endpoints"] if (e["revision"] or 0) >= revision]
-        return status["revision"] >= revision and len(current) >= wanted
+        return status["revision"] >= revision and len(current) >= agent_count
 
     def chat(self, entry, prompt, *, stream=True, model="tutor", headers=None):
         body = {
@@ -197,7 +206,7 @@
             "max_tokens": 12,
             "stream": stream,
         }
-        status, found, data = fetch(
+        status, response_headers, data = fetch(
             f"{self.entry_urls[entry]}/v1/chat/completions",
             method="POST",
             body=msgspec.json.encode(body),
@@ -209,14 +218,14 @@
             status=status,
             text=answer.text,
             is_whole=answer.is_whole,
-            run=found.get("Eelgrassrack-Run", ""),
-            version=found.get("Eelgrassrack-Version", ""),
-            retry_after=found.get("Retry-After", ""),
+            run=response_headers.get("Eelgrassrack-Run", ""),
+            version=response_headers.get("Eelgrassrack-Version", ""),
+            retry_after=response_headers.get("Retry-After", ""),
             body=data,
         )
 
-    def issue(self, entry, key, *, timeout=PATIENCE):
-        """Send a request that may not be repeated."""
+    def issue(self, entry, key, *, timeout=TIMEOUT_SECONDS):
+        """Ask for a credential, by a request that may not be repeated."""
         return fetch(
             f"{self.entry_urls[entry]}/v1/services/registry/credentials",
             method="POST",
--- a/test/processes/test_gateway_start.py
+++ b/test/processes/test_gateway_start.py
@@ -1,4 +1,4 @@
-"""What callers meet while a gateway process starts."""
+"""Requests, settings and signals that arrive while a gateway process starts."""
 
 import asyncio
 import contextlib
@@ -18,8 +18,8 @@
 pytestmark = pytest.mark.processes
 
 
-async def connect_soon(address):
-    """Connect as soon as anything listens."""
+async def connect_when_open(address):
+    """Connect to an address; retry until a process listens there."""
     while True:
         try:
             return await connect(address)
@@ -28,84 +28,89 @@
 
 
 @contextlib.asynccontextmanager
-async def start_gate(folder):
-    """Start a gateway process before an endpoint that echoes attempts' ids."""
+async def start_gateway(folder):
+    """Start a gateway process; its endpoint answers with each attempt's id."""
     async with make_world() as world:
         await world.add_engine("e1", Echo())
-        gate = Gate(
+        gateway = Gate(
             number=1,
             news_port=find_port(),
             store=world.store.url.removeprefix("http://"),
             folder=str(folder),
         )
-        gate.start()
+        gateway.start()
         try:
-            yield gate
+            yield gateway
         finally:
-            gate.close()
+            gateway.close()
 
 
 def test_a_caller_waits_while_the_process_loads(tmp_path):
-    """All gateways were killed and come back at the same moment.
+    """All gateways are killed and restart at the same moment.
 
-    A caller whose connection broke tries once more while the libraries are
-    still being loaded.  Refused by the kernel it would give up; it waits for the
-    fraction of a second and is served.
+    A caller whose connection broke retries once, while the gateway is still
+    importing its libraries.  If the kernel refused the connection, the caller
+    would give up.  The socket already listens, so the caller waits for a fraction
+    of a second and is served.
     """
 
     async def main():
-        async with start_gate(tmp_path) as gate:
-            caller = await connect_soon(gate.listen)
+        async with start_gateway(tmp_path) as gateway:
+            caller = await connect_when_open(gateway.listen)
             assert "started" not in (tmp_path / "entry-1.log").read_text()
             caller.send("/look/1", attempt="early")
-            got = await caller.read()
-            assert (got.status, got.body) == (200, b"early")
+            response = await caller.read()
+            assert (response.status, response.body) == (200, b"early")
 
     run(main())
 
 
 def test_changed_settings_dont_end_a_process_that_loads(tmp_path):
-    """Operators change settings while an instance comes back from a crash.
+    """Operators change settings while an instance restarts after a crash.
 
-    The signal arrives before the process has a handler for it.  Ended by it, the
-    process would cut the callers that wait, and start all over.
+    SIGHUP arrives before the process has installed its handler.  The default
+    action would end the process, which would cut the waiting callers and start
+    again from the beginning.
     """
 
     async def main():
-        async with start_gate(tmp_path) as gate:
-            caller = await connect_soon(gate.listen)
-            gate.send(signal.SIGHUP)
+        async with start_gateway(tmp_path) as gateway:
+            caller = await connect_when_open(gateway.listen)
+            gateway.send(signal.SIGHUP)
             caller.send("/look/1", attempt="early")
             assert (await caller.read()).status == 200
-            assert gate.process.poll() is None
+            assert gateway.process.poll() is None
 
     run(main())
 
 
 def test_a_stop_while_the_process_loads_cuts_no_caller_that_waits(tmp_path):
-    """All gateways are stopped again while they come back from a stop.
+    """All gateways are stopped again while they restart.
 
-    The signal arrives before the process has a handler for it.  Ended by it, the
-    process would cut the callers that wait, and these couldn't know whether
-    their requests ran.
+    SIGTERM arrives before the process has installed its handler.  The default
+    action would end the process and cut the waiting callers, who couldn't know
+    whether their requests ran.
     """
 
     async def main():
-        async with start_gate(tmp_path) as gate:
-            caller = await connect_soon(gate.listen)
+        async with start_gateway(tmp_path) as gateway:
+            caller = await connect_when_open(gateway.listen)
             caller.send("/look/1", attempt="early")
-            told_at = time.monotonic()
-            gate.send(signal.SIGTERM)
+            stopped_at = time.monotonic()
+            gateway.send(signal.SIGTERM)
             assert (await caller.read()).is_whole
-            while gate.is_up:
+            while gateway.is_up:
                 await asyncio.sleep(0.02)
-            assert time.monotonic() < told_at + gate.grace
+            assert time.monotonic() < stopped_at + gateway.grace
 
     run(main())
 
 
 def test_the_socket_is_open_before_libraries_are_loaded(tmp_path):
-    """A heavy import ahead of the socket would undo that silently."""
+    """The socket opens before any heavy import.
+
+    Without this test such an import could delay the socket unnoticed.
+    """
     settings = tmp_path / "gateway.ini"
     address = f"127.0.0.1:{find_port()}"
     settings.write_text(f"[gateway]\nlisten = {address}\n")
@@ -128,14 +133,14 @@
 @pytest.mark.parametrize(
     "text", ["", "[gateway]\n", "[gateway]\nlisten = nowhere\n", "listen = \x00"]
 )
-def test_faulty_settings_are_left_to_the_checked_start(tmp_path, text):
+def test_open_early_ignores_faulty_settings(tmp_path, text):
     settings = tmp_path / "gateway.ini"
     settings.write_text(text)
     assert open_early(str(settings)) is None
     assert open_early(str(tmp_path / "missing.ini")) is None
 
 
-def test_a_taken_address_is_left_to_the_checked_start(tmp_path):
+def test_open_early_ignores_an_address_in_use(tmp_path):
     settings = tmp_path / "gateway.ini"
     with open_listener(f"127.0.0.1:{find_port()}") as taken:
         host, port = taken.getsockname()
--- a/test/processes/test_path.py
+++ b/test/processes/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path and its failures with separate processes."""
+"""Requests through real entries and agents, and failures on their path."""
 
 import signal
 import threading
@@ -10,8 +10,10 @@
 
 from .fleet import DOCUMENT, Fleet
 
-FROZEN_SECONDS = 3.5
-NARROW = DOCUMENT.replace("concurrency = 8", "concurrency = 1\ncold_concurrency = 1")
+PAUSE_SECONDS = 3.5
+ONE_AT_A_TIME = DOCUMENT.replace(
+    "concurrency = 8", "concurrency = 1\ncold_concurrency = 1"
+)
 
 pytestmark = pytest.mark.processes
 
@@ -41,9 +43,9 @@
         fleet.start_agent(f"tutor-{number}", "tutors", engine.urls["engine"])
 
 
-def start_narrow_tutor(fleet):
-    """Start an engine that runs one request at a time, some seconds each."""
-    status, output = fleet.apply(NARROW)
+def start_serial_tutor(fleet):
+    """Start an engine that runs one request at a time, for some seconds each."""
+    status, output = fleet.apply(ONE_AT_A_TIME)
     assert status == 0, output
     engine = fleet.start(
         "eelgrassrack.standins",
@@ -67,7 +69,7 @@
 
 
 def count_runs(service):
-    """Stop a service and return how often it ran each key."""
+    """Stop a service; return how often it ran each idempotency key."""
     service.send(signal.SIGTERM)
     status, output = service.wait()
     assert status == 0
@@ -93,8 +95,8 @@
 def test_a_withdrawn_version_gets_no_new_work(fleet):
     """An operator withdraws a version while callers ask for its model.
 
-    Once the command says that it is in force everywhere, no caller gets
-    an answer of that version.
+    Once the command reports that the change is in force everywhere, that
+    version answers no caller.
     """
     start_tutors(fleet)
     fleet.start_entry("entry-0")
@@ -112,9 +114,9 @@
 def test_a_killed_entry_loses_no_credential_and_doubles_none(fleet):
     """An entry is killed while a credential is being issued.
 
-    Its caller sees the connection break and sends the request again with
-    the same key through another entry. The credential is issued once, and
-    the caller gets its answer.
+    The caller's connection breaks, and it retries with the same idempotency
+    key through another entry.  The credential is issued once, and the caller
+    gets its answer.
     """
     service = start_registry(fleet, delay=1.5)
     fleet.start_entry("entry-0")
@@ -138,10 +140,10 @@
     assert count_runs(service) == {"once": 1}
 
 
-def test_a_paused_entry_wakes_to_the_document_in_force(fleet):
-    """An entry is frozen while a version is withdrawn, then wakes.
+def test_a_paused_entry_resumes_with_the_document_in_force(fleet):
+    """An entry is paused (SIGSTOP) while a version is withdrawn, then resumes.
 
-    The requests it takes from then on don't reach the withdrawn version.
+    None of the requests that it accepts afterwards reaches that version.
     """
     start_tutors(fleet)
     fleet.start_entry("entry-0")
@@ -160,9 +162,9 @@
 
 
 def test_a_planned_stop_cuts_no_request(fleet):
-    """An entry and an agent get SIGTERM while answers are being streamed.
+    """An entry, then an agent, get SIGTERM while answers are being streamed.
 
-    The caller gets its whole answer, and both end with status 0.
+    Every caller gets its whole answer, and both processes exit with status 0.
     """
     start_tutors(fleet, count=1)
     fleet.start_entry("entry-0")
@@ -182,19 +184,19 @@
     assert fleet.entries["entry-0"].wait()[0] == 0
     fleet.agents["tutor-0"].send(signal.SIGTERM)
     assert fleet.agents["tutor-0"].wait()[0] == 0
-    # A caller that was cut has no answer at all here.
+    # A caller whose connection was cut has added no answer to the list.
     assert len(answers) == len(callers)
     assert all(answer.is_whole for answer in answers), answers
 
 
-def test_a_paused_agent_wakes_and_starts_nothing_that_was_withdrawn(fleet):
-    """An agent is frozen with requests in its queue, then wakes.
+def test_a_paused_agent_resumes_and_starts_nothing_that_was_withdrawn(fleet):
+    """An agent is paused (SIGSTOP) with requests in its queue, then resumes.
 
-    While it stands still their version is withdrawn.  What runs may end; the
-    engine is given nothing more of that version, and whoever is refused is
-    told that it wasn't run.
+    Meanwhile the version of these requests is withdrawn.  Requests that run
+    already may finish.  The agent starts no other request of that version, and
+    the callers that it refuses are told that their requests were not run.
     """
-    engine = start_narrow_tutor(fleet)
+    engine = start_serial_tutor(fleet)
     fleet.start_entry("entry-0")
     fleet.wait_ready(revision=2)
     answers = []
@@ -211,15 +213,18 @@
         caller.start()
     fleet.wait_queued("entry-0", "tutor-0")
     fleet.agents["tutor-0"].send(signal.SIGSTOP)
-    frozen_at = time.monotonic()
+    paused_at = time.monotonic()
     status, output = fleet.apply(
-        NARROW.replace("[version tutor/2]\n", "[version tutor/2]\nstate=withdrawn\n")
+        ONE_AT_A_TIME.replace(
+            "[version tutor/2]\n", "[version tutor/2]\nstate=withdrawn\n"
+        )
     )
     assert status == 0, output
     withdrawn_at = time.monotonic()
-    # The command takes seconds on a busy machine: an agent that is silent for
-    # longer than the entry bears would have its requests called unknown.
-    time.sleep(max(frozen_at + FROZEN_SECONDS - time.monotonic(), 0.0))
+    # On a busy machine the command takes seconds.  They count towards the pause:
+    # entries give up an agent that is silent for too long, and would report the
+    # outcome of its requests as unknown.
+    time.sleep(max(paused_at + PAUSE_SECONDS - time.monotonic(), 0.0))
     fleet.agents["tutor-0"].send(signal.SIGCONT)
     for caller in callers:
         caller.join()
@@ -228,26 +233,26 @@
     assert status == 0
     rows = [line.split() for line in output.splitlines()]
     starts = [float(row[2]) for row in rows if row[1] == "tutor/2"]
-    late = [at for at in starts if at > withdrawn_at]
+    late = [started_at for started_at in starts if started_at > withdrawn_at]
     assert starts and not late
     refused = [answer for answer in answers if answer.run == "not-run"]
     assert refused
     assert len(refused) + len(starts) <= len(answers), (starts, answers)
 
 
-def test_a_killed_agent_leaves_no_credential_doubled(fleet):
-    """An agent is killed while a credential is being issued beside it.
+def test_a_killed_agent_issues_no_credential_twice(fleet):
+    """An agent is killed while its service issues a credential.
 
-    Nobody can say any more what came of it.  The caller and whoever sends
-    again with the same key are told just that; it is never issued twice.
+    Nobody can know the outcome any more.  The caller is told so, and so is a
+    later request with the same key.  The credential is never issued twice.
     """
     service = start_registry(fleet, delay=1.0)
     fleet.start_entry("entry-0")
     fleet.wait_ready()
-    told = []
+    responses = []
 
     def send_first():
-        told.append(fleet.issue("entry-0", "once"))
+        responses.append(fleet.issue("entry-0", "once"))
 
     first = threading.Thread(target=send_first)
     first.start()
@@ -255,7 +260,7 @@
     fleet.agents["registry-0"].send(signal.SIGKILL)
     fleet.start_agent("registry-0", "registry", service.urls["service"])
     first.join()
-    told.append(fleet.issue("entry-0", "once"))
-    for status, headers, body in told:
+    responses.append(fleet.issue("entry-0", "once"))
+    for status, headers, body in responses:
         assert (status, headers["Eelgrassrack-Run"]) == (504, "unknown"), body
     assert count_runs(service).get("once", 0) <= 1
