--- a/test/processes/fleet.py
+++ b/test/processes/fleet.py
@@ -58,6 +58,7 @@
         self.urls = {row[0]: row[1] for row in rows}
 
     def send(self, signal_number):
+        """Send a signal to the process."""
         self.popen.send_signal(signal_number)
 
     def wait(self):
@@ -66,6 +67,7 @@
         return self.popen.returncode, output
 
     def close(self):
+        """Kill the process if it still runs, also if it is paused, and reap it."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.kill()
@@ -99,11 +101,13 @@
         self.entry_urls = {}
 
     def start(self, *arguments, lines=0):
+        """Start a process that `close` ends.  Arguments as for `Process`."""
         process = Process(*arguments, lines=lines)
         self.started.append(process)
         return process
 
     def close(self):
+        """End all processes, the last one started first."""
         for process in reversed(self.started):
             process.close()
 
@@ -114,12 +118,14 @@
         return process.wait()
 
     def apply(self, text, *extra):
+        """Apply a document with the operator's command; return as `run` does."""
         path = self.directory / "document.ini"
         path.write_text(text)
         command = ("apply", str(path), "--section", "*", "--as", "operations")
         return self.run(*command, *extra)
 
     def start_agent(self, name, pool, endpoint_url, grace=10):
+        """Start an agent and list it; `grace` is its grace period in seconds."""
         mailbox = f"tcp://127.0.0.1:{find_port()}"
         path = self.directory / f"{name}.ini"
         path.write_text(
@@ -132,6 +138,7 @@
         self.join(name, "endpoint", mailbox, pool)
 
     def start_entry(self, name, grace=10):
+        """Start an entry and list it; `grace` is its grace period in seconds."""
         port = find_port()
         mailbox = f"tcp://127.0.0.1:{find_port()}"
         path = self.directory / f"{name}.ini"
@@ -149,6 +156,7 @@
         self.join(name, "entry", mailbox, "")
 
     def join(self, name, role, mailbox, pool):
+        """Add an instance to the instance list."""
         instance = {
             "name": name,
             "role": role,
@@ -160,6 +168,7 @@
         fetch(url, method="PUT", body=msgspec.json.encode(instance))
 
     def remove(self, name):
+        """Remove an instance from the instance list."""
         url = f"{self.platform.urls['instances']}/instances/{name}"
         fetch(url, method="DELETE")
 
@@ -200,6 +209,7 @@
         return status["revision"] >= revision and len(current) >= agent_count
 
     def chat(self, entry, prompt, *, stream=True, model="tutor", headers=None):
+        """Send a chat request through an entry and return its answer."""
         body = {
             "model": model,
             "messages": [{"role": "user", "content": prompt}],
--- a/test/promises/__init__.py
+++ b/test/promises/__init__.py
@@ -1,1 +1,1 @@
-"""The promises under failure, each shown to need the rule that keeps it."""
+"""Tests of each promise under failure, with and without its guarding rule."""
--- a/test/promises/at_most_once.feature
+++ b/test/promises/at_most_once.feature
@@ -1,12 +1,12 @@
 Feature: A request that may not be repeated runs at most once
   A credential that is issued twice means two certificate numbers and a failed
-  audit. A caller that saw no answer sends again with the same key, and must be
-  able to do so without a fear.
+  audit. A caller that saw no answer retries with the same idempotency key, and
+  that must be safe.
 
   Scenario: The entry is killed while it issues a credential
-    The caller sees its connection break and sends again through the other
-    entry at once. The credential is issued once, and both later requests get the
-    same certificate.
+    The caller's connection breaks, and it retries through the other entry at
+    once. The credential is issued once, and both later requests get the same
+    certificate.
 
     Given two entries and a credential service
     When a credential is being issued through entry 0
@@ -14,35 +14,35 @@
     And the same credential is asked for through entry 1 twice
     Then the credential was issued once
     And the resends got the same answer
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
   Scenario: The same request comes through both entries at once
-    A client library sends again too early, and the balancer gives the two
+    A client library retries too early, and the load balancer sends the two
     requests to two entries at the same moment while the object API is slow.
-    Both callers get the one certificate.
+    Both callers get the same certificate.
 
     Given two entries and a credential service
     When the object API is slow
     And the same credential is asked for through both entries at once
     Then the credential was issued once
     And the resends got the same answer
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
   Scenario: The service breaks off after it has issued the credential
-    The service's connection breaks after the effect and before its answer.
-    Nobody knows what it did, so the caller is told just that, and so is each
-    resend. The credential is never issued again.
+    The service closes the connection after it has issued the credential and
+    before it answers. The outcome can't be known, so the caller is told that it
+    is unknown, and so is each resend. The credential is never issued again.
 
     Given two entries and a credential service
     When the service breaks off each answer after its effect
     And a credential is asked for through entry 0 and again through entry 1
     Then the credential was issued once
     And both were told that the outcome is unknown
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
   Scenario: The agent is killed and replaced while a credential is issued
-    The only process that knew what came of the request is gone. The callers
-    are told that the outcome is unknown; it is not run again.
+    Only the agent could have learned the outcome of the request. The callers
+    are told that the outcome is unknown, and the request is not run again.
 
     Given two entries and a credential service
     When a credential is being issued through entry 0
@@ -52,35 +52,37 @@
     And both were told that the outcome is unknown
 
   Scenario: The object API is down, then loses its answers
-    Without a claim on record nobody could keep the request to one run, so it is
-    refused, not run. When the object API is back, it loses the answers to the
-    writes of claims. The caller's next resend is issued once.
+    Without a stored claim the request could run twice, so it is refused and not
+    run. When the object API is back, its answers to the writes of claims get
+    lost. The caller resends, and the credential is issued once.
 
     Given two entries and a credential service
     When the object API goes down
     And a credential is asked for through entry 0
-    Then it was refused, not run, with a time to come back
+    Then it was refused as not run with a Retry-After
     When the object API comes back
     And the answers to the next 4 writes get lost
     And the same credential is asked for until it is answered
     Then the credential was issued once
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
   Scenario: The message that starts the request comes late
-    The message is held up on its way to the agent. The entry asks, and the agent
-    vows never to start it, so a second attempt is made. When the first message
-    arrives after all it must not run.
+    The message is delayed on its way to the agent. The entry asks the agent about
+    the attempt, and the agent records a tombstone so that the attempt never
+    starts. The entry then makes a second attempt. When the delayed message
+    arrives, the agent must not run it.
 
     Given two entries and a credential service
-    When the first message that starts a request is held up on its way
+    When the first message that starts a request is delayed
     And a credential is asked for through entry 0
-    And the held message arrives after all
+    And the delayed message arrives
     Then the credential was issued once
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
-  Scenario: The entry is killed and the object API is down when it is sent again
-    Two failures at once: the resend can't see the claim. It is refused, not run;
-    once the object API is back, the next resend gets the first run's answer.
+  Scenario: The entry is killed and the object API is down at the resend
+    Two failures at once: the entry that gets the resend can't read the claim. It
+    refuses the resend as not run. Once the object API is back, the next resend
+    gets the answer of the first run.
 
     Given two entries and a credential service
     When a credential is being issued through entry 0
@@ -92,16 +94,17 @@
     Then the credential was issued once
 
   Scenario: An entry is frozen after it has claimed the request
-    An entry stands still between its claim and its dispatch, and the caller
-    sends again through the other entry. That one learns that the first attempt
-    never came and takes the claim over. When the first entry wakes, what it sends
-    must not run, and both callers get the one answer.
+    An entry freezes after it has claimed the request and before it dispatches it,
+    and the caller resends through the other entry. The other entry learns that
+    the first attempt never reached the agent, and takes over the claim. When the
+    first entry resumes, the attempt that it sends must not run, and both callers
+    get the same answer.
 
     Given two entries and a credential service
-    When everything that entry 0 sends to the agent is held up
+    When everything that entry 0 sends to the agent is delayed
     And a credential is claimed through entry 0
     And the same credential is asked for through entry 1 again
-    And the held message arrives after all
+    And the delayed message arrives
     Then the credential was issued once
     And the resends got the same answer
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
--- a/test/promises/cold_start.feature
+++ b/test/promises/cold_start.feature
@@ -1,6 +1,6 @@
-Feature: An endpoint in a cold start gets no more than it bears
-  An engine that has just started falls over under full load, and all that it
-  runs is lost. Callers then see errors, send again, and it falls over again.
+Feature: An endpoint in a cold start gets no more requests than it can handle
+  An engine that has just started falls over under full load, and every request
+  that it runs fails. The callers retry, and it falls over again.
 
   Scenario: A burst meets an engine and an agent that have just started
     A whole class of candidates asks at the same moment, right after the engine
@@ -12,12 +12,12 @@
     And every caller has an answer
     Then the engine never fell over
     And each caller got its own whole answer
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
   Scenario: A warm engine crashes under full load and comes back cold
-    The engine crashes without warning while it runs eight requests. It comes
-    back within a second, cold, and the callers, who were cut off, send again all
-    at once. The engine stays up.
+    The engine crashes without warning while it runs eight requests. It is up
+    again within a second, but cold, and all callers that were cut off retry at
+    once. The engine stays up.
 
     Given two entries and one engine in a cold start
     When the engine has become warm
@@ -26,11 +26,11 @@
     And the engine is up again and sixteen questions come at once
     And every caller has an answer
     Then the engine never fell over
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
   Scenario: The engine crashes and its agent is lost with it
-    The instance restarts as a whole, so the agent knows nothing of the engine
-    before. It gives the engine only what a cold one bears.
+    The whole instance restarts, so the new agent has no record of the engine. It
+    gives the engine only as many requests as a cold engine can handle.
 
     Given two entries and one engine in a cold start
     When the engine has become warm
@@ -39,11 +39,12 @@
     And the engine is up again and sixteen questions come at once
     And every caller has an answer
     Then the engine never fell over
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
   Scenario: An idle engine turns cold just before a burst
-    The engine restarts while nothing runs, between two looks at its health, and
-    a whole class of candidates asks right after. It gets no more than it bears.
+    The engine restarts while nothing runs, between two health checks, and a whole
+    class of candidates asks right after. The engine gets no more requests than it
+    can handle.
 
     Given two entries and one engine in a cold start
     When the engine has become warm
@@ -51,15 +52,15 @@
     And every caller has an answer
     Then the engine never fell over
     And each caller got its own whole answer
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
 
-  Scenario: A poison request crashes each engine that runs it
-    One request crashes the engine. Its caller sends it again and again, through
-    both entries. After it has crashed a few engines it is refused; the engines
-    never fall over for load, and others are served in the end.
+  Scenario: A query of death crashes each engine that runs it
+    The caller of this request sends it again and again, through both entries.
+    After it has crashed a few engines it is refused. The engines never fall over
+    under load, and the other callers are served in the end.
 
     Given two entries and an engine in each of two failure domains
-    When a poison request is sent five times while others ask
-    Then the poison request crashed at most four engines
+    When a query of death is sent five times while others ask
+    Then the query of death crashed engines at most four times
     And the engine never fell over
-    And every answer, refusal and bill is true
+    And every answer, refusal and bill is correct
--- a/test/promises/conftest.py
+++ b/test/promises/conftest.py
@@ -1,4 +1,4 @@
-"""The system, and the steps that several scenarios share."""
+"""The `world` fixture and the steps that several features share."""
 
 import pytest
 from pytest_bdd import given, parsers, then, when
@@ -26,15 +26,15 @@
 
 
 @given("two entries and one engine that runs one request at a time")
-def start_narrow_engine(world):
-    narrow = make_serial_document()
-    world.start(plans=[TUTOR_EAST], document=narrow)
+def start_serial_engine(world):
+    document = make_serial_document()
+    world.start(plans=[TUTOR_EAST], document=document)
 
 
 @given("two entries and two engines that run one request at a time")
-def start_narrow_engines(world):
-    narrow = make_serial_document()
-    world.start(plans=[TUTOR_EAST, TUTOR_WEST], document=narrow)
+def start_serial_engines(world):
+    document = make_serial_document()
+    world.start(plans=[TUTOR_EAST, TUTOR_WEST], document=document)
 
 
 @given("two entries and a credential service")
@@ -75,7 +75,7 @@
     check(not failed, f"{failed[:2]}")
 
 
-@then("every answer, refusal and bill is true")
+@then("every answer, refusal and bill is correct")
 def check_all(world):
     world.finish()
     world.check_all()
--- a/test/promises/links.py
+++ b/test/promises/links.py
@@ -1,4 +1,4 @@
-"""Faults on the way between daemons: messages lost, held back and crossed."""
+"""Faulty links between daemons: they lose, delay, reorder or duplicate messages."""
 
 import dataclasses
 import itertools
@@ -15,27 +15,31 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Link:
-    """What befalls the messages that come in at one mailbox.
-
-    Messages that match `holds` wait until the link heals, those that match
-    `loses` never come.  Everything from the address `held_from` waits, and
-    nothing from the address `cut_from` comes.
-    `crosses` lets each parcel come after the next one, and both twice; one
-    that still waits when the link heals is lost.
+    """The faults of the link to one mailbox.
+
+    Messages that match `holds`, and all batches from the address `held_from`, are
+    kept in `held` until the link is restored.  Messages that match `loses`, and
+    all batches from the address `cut_from`, are dropped and counted in `lost`.
+    With `reorders` each pair of batches arrives in reverse order and twice.  The
+    first of a pair is kept in `late`; it is lost if the link is restored before
+    the second one arrives.
     """
 
     holds: Matches = lambda message: False
     loses: Matches = lambda message: False
     cut_from: str = ""
     held_from: str = ""
-    crosses: bool = False
+    reorders: bool = False
     held: list[tuple[Mailbox, bytes]] = dataclasses.field(default_factory=list)
     lost: int = 0
     late: bytes = b""
 
 
 class Links:
-    """All faulty links, by the address of the receiving mailbox."""
+    """The faulty links, by the address of the receiving mailbox.
+
+    Patches `Mailbox._take`, through which every received batch passes.
+    """
 
     def __init__(self, monkeypatch):
         self._links = {}
@@ -47,7 +51,7 @@
         monkeypatch.setattr(Mailbox, "_take", take)
 
     def fault(self, address, **faults):
-        """Make the link to a mailbox faulty; return it."""
+        """Add a faulty link to a mailbox, in place of any other; return it."""
         link = self._links[address] = Link(**faults)
         return link
 
@@ -56,7 +60,7 @@
         return self._links[address]
 
     def heal(self, address):
-        """Let everything through again, first what was held back."""
+        """Restore the link to a mailbox and deliver the batches that it held."""
         link = self._links.pop(address)
         for mailbox, data in link.held:
             self._original(mailbox, data)
@@ -82,19 +86,19 @@
             self._pass(mailbox, link, _pack(parcel, rest))
 
     def _pass(self, mailbox, link, data):
-        if not link.crosses:
+        if not link.reorders:
             self._original(mailbox, data)
             return
         if not link.late:
             link.late = data
             return
         late, link.late = link.late, b""
-        for each in (data, late, data, late):
-            self._original(mailbox, each)
+        for received in (data, late, data, late):
+            self._original(mailbox, received)
 
 
-def first_of(kind):
-    """Return what matches the first message of a kind only."""
+def match_first(kind):
+    """Return a predicate that matches the first message of a class only."""
     numbers = itertools.count()
 
     def matches(message):
@@ -103,20 +107,26 @@
     return matches
 
 
-def some(kind, *, seed=1, share=0.1):
-    """Return what matches a share of the messages of a kind."""
-    chance = random.Random(seed)
+def match_share(kind, *, seed=1, share=0.1):
+    """Return a predicate that matches a random share of a class's messages."""
+    rng = random.Random(seed)
 
     def matches(message):
-        return isinstance(message, kind) and chance.random() < share
+        return isinstance(message, kind) and rng.random() < share
 
     return matches
 
 
 def _split(messages, matches):
-    """Return the messages that match and the others; ask once for each."""
+    """Return the messages that match and the others.
+
+    Calls `matches` once for each message, since it may count or draw numbers.
+    """
     found = [(message, matches(message)) for message in messages]
-    return [m for m, is_match in found if is_match], [m for m, no in found if not no]
+    return (
+        [message for message, is_match in found if is_match],
+        [message for message, is_match in found if not is_match],
+    )
 
 
 def _pack(parcel, messages):
--- a/test/promises/test_assertions.py
+++ b/test/promises/test_assertions.py
@@ -1,4 +1,4 @@
-"""The assertions inside the program notice a rule that fails."""
+"""The program's invariants count a broken promise when a rule fails."""
 
 import pytest
 
@@ -25,7 +25,7 @@
     world.fill([world.agent("tutor-east"), world.agent("tutor-west")])
 
 
-def withdraw_behind_an_open_gate(world, monkeypatch):
+def withdraw_without_admission_check(world, monkeypatch):
     monkeypatch.setattr(core, "judge", lambda **asked: Open())
     fill_engines(world)
     for version in ("tutor/1", "tutor/2"):
@@ -33,14 +33,14 @@
     world.release_engines()
 
 
-def take_out_behind_an_open_gate(world, monkeypatch):
+def take_out_without_admission_check(world, monkeypatch):
     monkeypatch.setattr(core, "judge", lambda **asked: Open())
     fill_engines(world)
     world.wait_in_force(world.take_out("east"))
     world.release_engines()
 
 
-def leave_behind_an_open_gate(world, monkeypatch):
+def leave_without_admission_check(world, monkeypatch):
     monkeypatch.setattr(core, "judge", lambda **asked: Open())
     fill_engines(world)
     world.system.instances.leave("tutor-east")
@@ -48,7 +48,7 @@
     world.release_engines()
 
 
-def start_more_than_the_window(world, monkeypatch):
+def start_more_than_window(world, monkeypatch):
     monkeypatch.setattr(Window, "count_free", lambda window, *, running: 9)
     monkeypatch.setattr(Runner, "_find_last_refusal", lambda runner, attempt: None)
     world.start(plans=[TUTOR_EAST])
@@ -105,12 +105,12 @@
 
 
 def move_pin(*, pin, active, permitted):
-    """Keep a session on the version that isn't its own."""
+    """Give a session another version than the pinned one."""
     [other] = active - {pin.version}
     return Keep(version=other)
 
 
-def refuse_what_runs(world, monkeypatch):
+def refuse_running_attempt(world, monkeypatch):
     world.start(plans=[TUTOR_EAST])
     world.hold_engines()
     world.ask("question")
@@ -153,13 +153,13 @@
 CASES = {
     Promise.PERMITTED: choose_another_version,
     Promise.SESSION: move_a_session,
-    Promise.NOT_RUN: refuse_what_runs,
+    Promise.NOT_RUN: refuse_running_attempt,
     Promise.AT_MOST_ONCE: begin_twice,
     Promise.BILLED_ONCE: flush_twice,
-    Promise.WITHDRAWN: withdraw_behind_an_open_gate,
-    Promise.DOMAIN_OUT: take_out_behind_an_open_gate,
-    Promise.LEAVING: leave_behind_an_open_gate,
-    Promise.COLD_START: start_more_than_the_window,
+    Promise.WITHDRAWN: withdraw_without_admission_check,
+    Promise.DOMAIN_OUT: take_out_without_admission_check,
+    Promise.LEAVING: leave_without_admission_check,
+    Promise.COLD_START: start_more_than_window,
     Promise.CONFIGURATION: revert_an_agent,
     Promise.WHOLE_ANSWER: use_an_attempt_id_twice,
     Promise.GRACEFUL_STOP: stop_without_draining,
@@ -168,9 +168,9 @@
 
 @pytest.mark.parametrize("promise", CASES)
 def test_a_rule_that_fails_is_noticed(world, monkeypatch, promise):
-    """A rule of the program fails, as by a fault in a later change.
+    """A rule of the program fails, as it would after a faulty change.
 
-    Whoever looks at the counts of broken promises sees which one it was.
+    The counts of broken promises show an operator which promise it was.
     """
     CASES[promise](world, monkeypatch)
     world.finish()
--- a/test/promises/test_at_most_once.py
+++ b/test/promises/test_at_most_once.py
@@ -10,15 +10,15 @@
 from eelgrassrack.mailbox.messages import Start
 from eelgrassrack.store.claims import ClaimAcquired, Claims
 
-from .guards import breaks
-from .links import first_of
+from .guards import breaks_promise
+from .links import match_first
 from .world import NOT_RUN, check
 
 scenarios("at_most_once.feature")
 
 KEY = "credential 17"
 SERVICE_SECONDS = 0.5
-MOST_RESENDS = 20
+MAX_RESENDS = 20
 
 
 @pytest.fixture
@@ -30,25 +30,25 @@
 
 
 @pytest.fixture
-def vows_forgotten(monkeypatch):
+def tombstones_ignored(monkeypatch):
     monkeypatch.setattr(Records, "add", lambda records, **vow: None)
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("claims_unwritten")
 @scenario("at_most_once.feature", "The entry is killed while it issues a credential")
 def test_claims_are_needed_after_a_kill():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("claims_unwritten")
 @scenario("at_most_once.feature", "The same request comes through both entries at once")
 def test_claims_are_needed_in_a_race():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("claims_unwritten")
 @scenario(
     "at_most_once.feature",
@@ -58,24 +58,24 @@
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("vows_forgotten")
+@breaks_promise
+@pytest.mark.usefixtures("tombstones_ignored")
 @scenario("at_most_once.feature", "The message that starts the request comes late")
-def test_vows_are_needed():
+def test_tombstones_are_needed():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("vows_forgotten")
+@breaks_promise
+@pytest.mark.usefixtures("tombstones_ignored")
 @scenario(
     "at_most_once.feature",
     "An entry is frozen after it has claimed the request",
 )
-def test_vows_are_needed_after_a_freeze():
+def test_tombstones_are_needed_after_a_freeze():
     pass
 
 
-@when("everything that entry 0 sends to the agent is held up")
+@when("everything that entry 0 sends to the agent is delayed")
 def hold_entry(world):
     agent = world.agent("registry")
     world.links.fault(agent.address, held_from=world.entry().address)
@@ -113,15 +113,15 @@
     world.run(world.system.start_agent("registry"))
 
 
-@when("the first message that starts a request is held up on its way")
+@when("the first message that starts a request is delayed")
 def hold_first(world):
-    world.links.fault(world.agent("registry").address, holds=first_of(Start))
+    world.links.fault(world.agent("registry").address, holds=match_first(Start))
 
 
-@when("the held message arrives after all")
-def arrive(world):
+@when("the delayed message arrives")
+def deliver(world):
     world.heal(world.agent("registry").address)
-    # Whatever the agent does with it is done once this one is answered.
+    # Once this request is answered, the agent has handled the delayed message too.
     world.finish(world.issue("another credential"))
 
 
@@ -155,7 +155,7 @@
 
 @when("the same credential is asked for until it is answered")
 def resend_until_answered(world):
-    for _ in range(MOST_RESENDS):
+    for _ in range(MAX_RESENDS):
         [answer] = world.finish(world.issue(KEY, entry=1))
         if answer.status == 200:
             return
@@ -188,11 +188,11 @@
 
 @then("both were told that the outcome is unknown")
 def check_unknown(world):
-    told = {(a.status, a.run, a.retry_after) for a in world.finish()}
-    check(told == {(504, "unknown", "")}, str(told))
+    outcomes = {(a.status, a.run, a.retry_after) for a in world.finish()}
+    check(outcomes == {(504, "unknown", "")}, str(outcomes))
 
 
-@then("it was refused, not run, with a time to come back")
+@then("it was refused as not run with a Retry-After")
 def check_refused(world):
     answer = world.finish()[-1]
     check((answer.status, answer.run) == (503, NOT_RUN), str(answer))
--- a/test/promises/test_billed.py
+++ b/test/promises/test_billed.py
@@ -13,26 +13,26 @@
 from eelgrassrack.store.pages import LedgerHead
 from eelgrassrack.store.records import put_record
 
-from .guards import breaks
+from .guards import breaks_promise
 from .world import POLL_SECONDS, count_billed
 
 scenarios("billed.feature")
 
-NEVER_SECONDS = 1.0
+SHORT_WAIT_SECONDS = 1.0  # for bills that never come
 
-# Long enough for what runs to end, and no longer than a test should wait.
+# Running requests finish within this time, and tests stay quick.
 GRACE_SECONDS = 3.0
 
 
 @pytest.fixture
-def bills_unkept(monkeypatch, world):
+def bills_never_resent(monkeypatch, world):
     monkeypatch.setattr(BillKeeper, "tick", lambda keeper, *, now: None)
-    world.patience = NEVER_SECONDS
+    world.wait_seconds = SHORT_WAIT_SECONDS
 
 
 @pytest.fixture
-def own_writes_unknown(monkeypatch, world):
-    world.patience = NEVER_SECONDS
+def own_writes_unrecognised(monkeypatch, world):
+    world.wait_seconds = SHORT_WAIT_SECONDS
 
     async def put(**arguments):
         arguments["is_own"] = lambda found: False
@@ -55,7 +55,7 @@
         return ()
 
     monkeypatch.setattr(Settlement, "settle", settle)
-    world.patience = NEVER_SECONDS
+    world.wait_seconds = SHORT_WAIT_SECONDS
 
 
 @pytest.fixture(autouse=True)
@@ -63,31 +63,31 @@
     monkeypatch.setattr(system, "QUICK_GRACE", GRACE_SECONDS)
 
 
-@breaks
-@pytest.mark.usefixtures("bills_unkept")
+@breaks_promise
+@pytest.mark.usefixtures("bills_never_resent")
 @scenario(
     "billed.feature",
-    "An entry dies in an outage of the object API with bills in its hands",
+    "An entry dies in an outage of the object API with unwritten bills",
 )
 def test_bill_keeper_is_needed():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("own_writes_unknown")
+@breaks_promise
+@pytest.mark.usefixtures("own_writes_unrecognised")
 @scenario("billed.feature", "The answers to writes of the ledger get lost")
 def test_recognition_of_own_writes_is_needed():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("old_ledgers_unread")
-@scenario("billed.feature", "An entry is taken for dead while it lives")
+@scenario("billed.feature", "A live entry is taken for dead")
 def test_sealing_is_needed():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("settled_by_entries_only")
 @scenario("billed.feature", "All entries are gone when an agent is stopped")
 def test_settlement_is_needed():
@@ -100,7 +100,7 @@
     world.kill_entry(1)
 
 
-@when("the agent is stopped and finds no entry in its whole grace")
+@when("the agent is stopped and finds no entry in its grace period")
 def stop_agent(world):
     world.run(world.system.stop_agent("tutor-east"))
 
@@ -117,7 +117,7 @@
         world.ask(f"question {number}", entry=number % 2, stream=False, tokens=40)
 
 
-@when("an engine crashes that runs some")
+@when("an engine crashes that runs some of them")
 def crash(world):
     world.crash_engine()
 
@@ -129,7 +129,7 @@
     world.run(world.system.kill_agent("tutor-east"))
 
 
-@when("nothing that the entries settle reaches the agents")
+@when("the agents receive no confirmation of written bills")
 def lose_settlements(world):
     for endpoint in world.system.endpoints.values():
         world.links.fault(
@@ -151,6 +151,7 @@
 
 
 async def drop_for_a_moment(world):
+    """Drop entry 0 from the instance list until all bills are settled."""
     agents = [each.agent for each in world.system.endpoints.values()]
     listed = world.system.instances._instances["entry-0"]
     world.system.instances.remove("entry-0")
--- a/test/promises/test_cold_start.py
+++ b/test/promises/test_cold_start.py
@@ -1,4 +1,4 @@
-"""An endpoint in a cold start gets no more than it bears, under failure."""
+"""An endpoint in a cold start isn't overloaded, under failure."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 from eelgrassrack.agent import agent
 from eelgrassrack.decisions.coldstart import Window
 
-from .guards import breaks
-from .world import LOOK_SECONDS, TUTOR_EAST, check
+from .guards import breaks_promise
+from .world import AGENT_POLL_SECONDS, TUTOR_EAST, check
 
 scenarios("cold_start.feature")
 
-WARM = 8
+WARM_REQUESTS = 8  # how many run at once at a warm engine
 WARM_UP_SECONDS = 10.0
 COLD_COMPLETIONS = 4
 RESTART_SECONDS = 0.3
 POISON = "poison"
-NEVER_SECONDS = 600.0
+NO_POLL_SECONDS = 600.0
 
 
 @pytest.fixture
@@ -27,11 +27,11 @@
 
 
 @pytest.fixture
-def collapse_unheeded(monkeypatch):
+def collapse_ignored(monkeypatch):
     monkeypatch.setattr(Window, "collapse", lambda window, *, now, reason: None)
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("window_open")
 @scenario(
     "cold_start.feature",
@@ -41,8 +41,8 @@
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("collapse_unheeded")
+@breaks_promise
+@pytest.mark.usefixtures("collapse_ignored")
 @scenario(
     "cold_start.feature",
     "A warm engine crashes under full load and comes back cold",
@@ -72,10 +72,10 @@
     while engine.cold:
         ask(world)
         world.finish()
-    # The window opens with time too.
+    # The window also grows with time.
     world.clocks["tutor-east"].ahead += WARM_UP_SECONDS
     window = world.agent("tutor-east")._core.window
-    while window.size < WARM:
+    while window.size < WARM_REQUESTS:
         ask(world)
         world.finish()
 
@@ -85,7 +85,7 @@
     engine = world.standin("tutor-east")
     for number in range(16):
         world.ask(f"long {number}", entry=number % 2, tokens=400)
-    world.wait(lambda: engine.running == WARM)
+    world.wait(lambda: engine.running == WARM_REQUESTS)
 
 
 @when("the engine crashes")
@@ -107,7 +107,7 @@
 
     def is_up():
         found = [entry.directory.find("tutor-east") for entry in entries]
-        return all(known.agent and known.load.engine_up for known in found)
+        return all(endpoint.agent and endpoint.load.engine_up for endpoint in found)
 
     world.wait(lambda: world.standin("tutor-east").cold)
     world.wait(is_up)
@@ -116,24 +116,24 @@
 
 @when("the engine turns cold and sixteen questions come at once")
 def turn_cold(world, monkeypatch):
-    monkeypatch.setattr(agent, "POLL_SECONDS", NEVER_SECONDS)
-    world.run(asyncio.sleep(2 * LOOK_SECONDS))
+    monkeypatch.setattr(agent, "POLL_SECONDS", NO_POLL_SECONDS)
+    world.run(asyncio.sleep(2 * AGENT_POLL_SECONDS))
     world.standin("tutor-east").make_cold()
     ask(world)
 
 
-@when("a poison request is sent five times while others ask")
-def ask_poison(world):
+@when("a query of death is sent five times while others ask")
+def ask_query_of_death(world):
     for engine in world.engines:
         engine.poison_text = POISON
     for number in range(5):
-        poison = world.ask(POISON, entry=number % 2)
+        sent = world.ask(POISON, entry=number % 2)
         world.ask(f"question {number}", entry=number % 2)
-        world.finish(poison)
+        world.finish(sent)
 
 
-@then("the poison request crashed at most four engines")
-def check_poison(world):
+@then("the query of death crashed engines at most four times")
+def check_query_of_death(world):
     world.finish()
     crashes = sum(engine.crashes for engine in world.engines)
     check(crashes <= 4, f"{crashes} crashes")
--- a/test/promises/test_configuration.py
+++ b/test/promises/test_configuration.py
@@ -13,14 +13,14 @@
 from eelgrassrack.store.head import Applied
 from eelgrassrack.store.objects import Unavailable
 
-from .guards import breaks
+from .guards import breaks_promise
 from .world import NOT_RUN, check
 
 scenarios("configuration.feature")
 
-# Within seconds, as the promise has it.
-FORCE_SECONDS = 5.0
-NEVER_SECONDS = 1.0
+# The promise says "within seconds".
+IN_FORCE_SECONDS = 5.0
+SHORT_WAIT_SECONDS = 1.0  # for changes that never come
 WITHDRAWN = "[version tutor/2]\nstate = withdrawn\n"
 OUT = "[domain west]\nstate = out\n"
 
@@ -34,8 +34,8 @@
 
 
 @pytest.fixture
-def any_revision_taken(monkeypatch, world):
-    world.patience = NEVER_SECONDS
+def any_revision_accepted(monkeypatch, world):
+    world.wait_seconds = SHORT_WAIT_SECONDS
 
     def take(configuration, snapshot):
         configuration.snapshot = snapshot
@@ -50,14 +50,14 @@
 
 
 @pytest.fixture
-def any_facts_taken(monkeypatch, world):
-    world.patience = NEVER_SECONDS
+def any_facts_accepted(monkeypatch, world):
+    world.wait_seconds = SHORT_WAIT_SECONDS
     monkeypatch.setattr(core, "merge_facts", lambda known, offered: offered)
 
 
 @pytest.fixture
-def peers_unheard(monkeypatch, world):
-    """Take no change from a peer, only the first document."""
+def peers_ignored(monkeypatch, world):
+    """Accept the first document from a peer, but no change."""
     original = Configuration.take_copy
 
     def take_copy(configuration, copy):
@@ -65,10 +65,10 @@
             original(configuration, copy)
 
     monkeypatch.setattr(Configuration, "take_copy", take_copy)
-    world.patience = NEVER_SECONDS
+    world.wait_seconds = SHORT_WAIT_SECONDS
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("updates_unconditional")
 @scenario(
     "configuration.feature",
@@ -78,22 +78,22 @@
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("any_revision_taken")
+@breaks_promise
+@pytest.mark.usefixtures("any_revision_accepted")
 @scenario("configuration.feature", "An old document arrives late")
 def test_order_of_revisions_is_needed_at_entries():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("any_facts_taken")
+@breaks_promise
+@pytest.mark.usefixtures("any_facts_accepted")
 @scenario("configuration.feature", "An old document arrives late")
 def test_order_of_revisions_is_needed_at_agents():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("peers_unheard")
+@breaks_promise
+@pytest.mark.usefixtures("peers_ignored")
 @scenario(
     "configuration.feature",
     "An entry that is cut off from the object API learns from a peer",
@@ -133,9 +133,10 @@
     old_facts = agent._core.standing.facts
     world.wait_in_force(world.withdraw("tutor/2"))
 
-    # Nothing that would mend a reverted document comes until it is looked at.
-    world.links.fault(world.entry(0).address, loses=lambda each: each != old_copy)
-    world.links.fault(agent.address, loses=lambda each: each != old_facts)
+    # Any other message is lost until the test has looked at the documents: it could
+    # replace a reverted document by the current one.
+    world.links.fault(world.entry(0).address, loses=lambda message: message != old_copy)
+    world.links.fault(agent.address, loses=lambda message: message != old_facts)
     counts = agent._mailbox.counts, world.entry(0)._mailbox.counts
     before = [count["messages_received"] for count in counts]
 
@@ -190,7 +191,7 @@
 
 @then("tutor/2 is withdrawn at both entries and the agent")
 def check_withdrawn(world):
-    ends_at = time.monotonic() + min(FORCE_SECONDS, world.patience)
+    ends_at = time.monotonic() + min(IN_FORCE_SECONDS, world.wait_seconds)
     while not is_withdrawn(world) and time.monotonic() < ends_at:
         world.run(asyncio.sleep(0.01))
     check(is_withdrawn(world), "tutor/2 is not withdrawn everywhere")
@@ -204,7 +205,7 @@
     )
 
 
-@then("the ways are sound again")
+@then("the links are restored")
 def heal(world):
     world.heal(world.entry(0).address)
     world.heal(world.agent("tutor-east").address)
@@ -214,5 +215,5 @@
 def check_refused(world):
     for number in range(2):
         [answer] = world.finish(world.ask("bad", model="tutor/2", entry=number))
-        told = (answer.status, answer.code, answer.run)
-        check(told == (410, "version_withdrawn", NOT_RUN), str(told))
+        outcome = (answer.status, answer.code, answer.run)
+        check(outcome == (410, "version_withdrawn", NOT_RUN), str(outcome))
--- a/test/promises/test_domain_out.py
+++ b/test/promises/test_domain_out.py
@@ -6,34 +6,34 @@
 from eelgrassrack.agent.gate import Standing
 from eelgrassrack.document.snapshot import Snapshot
 
-from .guards import breaks
+from .guards import breaks_promise
 from .world import NOT_RUN, check
 
 scenarios("domain_out.feature")
 
 
 @pytest.fixture
-def gate_open(monkeypatch):
+def admission_unchecked(monkeypatch):
     monkeypatch.setattr(Standing, "is_out", lambda standing: False)
 
 
 @pytest.fixture
-def domains_unheeded(monkeypatch, gate_open):
+def domains_ignored(monkeypatch, admission_unchecked):
     monkeypatch.setattr(Snapshot, "is_domain_in", lambda snapshot, *, domain: True)
 
 
-@breaks
-@pytest.mark.usefixtures("gate_open")
+@breaks_promise
+@pytest.mark.usefixtures("admission_unchecked")
 @scenario(
     "domain_out.feature",
     "A domain is taken out while requests wait at its agent",
 )
-def test_gate_is_needed():
+def test_admission_check_is_needed():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("domains_unheeded")
+@breaks_promise
+@pytest.mark.usefixtures("domains_ignored")
 @scenario("domain_out.feature", "The last domain is taken out, and one comes back")
 def test_domain_states_are_needed():
     pass
@@ -61,8 +61,8 @@
     world.wait_in_force(revision)
 
 
-@when("the engines go on")
-def go_on(world):
+@when("the engines resume")
+def resume(world):
     world.release_engines()
     world.finish()
 
@@ -76,22 +76,22 @@
 
 @then("the engine in the east was given one request")
 def check_east(world):
-    given = len(world.standin("tutor-east").started)
-    check(given == 1, f"the east was given {given}")
+    starts = len(world.standin("tutor-east").started)
+    check(starts == 1, f"the east was given {starts}")
 
 
 @then("the engines in the east were given nothing")
 def check_nothing(world):
     world.finish()
-    given = len(world.standin("tutor-east").started)
-    check(given == 0, f"the east was given {given}")
+    starts = len(world.standin("tutor-east").started)
+    check(starts == 0, f"the east was given {starts}")
 
 
 @then("each was refused because the domains are out, not run")
 def check_refused(world):
-    told = {(a.status, a.code, a.run) for a in world.finish()}
-    check(told == {(503, "domains_out", NOT_RUN)}, str(told))
-    check(all(a.retry_after for a in world.finish()), "no time to come back")
+    outcomes = {(a.status, a.code, a.run) for a in world.finish()}
+    check(outcomes == {(503, "domains_out", NOT_RUN)}, str(outcomes))
+    check(all(a.retry_after for a in world.finish()), "a refusal has no Retry-After")
 
 
 @then("the last eight got their whole answers")
--- a/test/promises/test_graceful_stop.py
+++ b/test/promises/test_graceful_stop.py
@@ -8,38 +8,38 @@
 from eelgrassrack.agent.agent import Agent
 from eelgrassrack.entry.entry import EntryDaemon
 
-from .guards import breaks
+from .guards import breaks_promise
 
 scenarios("graceful_stop.feature")
 
-NEVER_SECONDS = 2.0
-LONG = 60
+SHORT_CALL_SECONDS = 2.0  # for answers that never come
+LONG_TOKENS = 60
 
 
 @pytest.fixture
 def entry_closes_at_once(monkeypatch, world):
-    async def wait_not(which, extra):
+    async def skip_wait(daemon, extra):
         pass
 
-    monkeypatch.setattr(EntryDaemon, "_may_close", lambda which, waited: True)
-    monkeypatch.setattr(EntryDaemon, "_wait_idle", wait_not)
-    world.call_seconds = NEVER_SECONDS
+    monkeypatch.setattr(EntryDaemon, "_may_close", lambda daemon, waited: True)
+    monkeypatch.setattr(EntryDaemon, "_wait_idle", skip_wait)
+    world.call_seconds = SHORT_CALL_SECONDS
 
 
 @pytest.fixture
 def agent_closes_at_once(monkeypatch, world):
     monkeypatch.setattr(Agent, "_may_close", lambda agent, waited: True)
-    world.call_seconds = NEVER_SECONDS
+    world.call_seconds = SHORT_CALL_SECONDS
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("entry_closes_at_once")
 @scenario("graceful_stop.feature", "An entry is stopped while it streams answers")
 def test_draining_of_entries_is_needed():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("agent_closes_at_once")
 @scenario(
     "graceful_stop.feature",
@@ -53,7 +53,7 @@
 def ask_long(world):
     world.stops = []
     for number in range(8):
-        world.ask(f"long {number}", entry=number % 2, tokens=LONG)
+        world.ask(f"long {number}", entry=number % 2, tokens=LONG_TOKENS)
     world.wait(lambda: all(engine.running for engine in world.engines))
 
 
--- a/test/promises/test_leaving.py
+++ b/test/promises/test_leaving.py
@@ -5,7 +5,7 @@
 
 from eelgrassrack.agent.gate import Standing
 
-from .guards import breaks
+from .guards import breaks_promise
 from .world import check
 
 scenarios("leaving.feature")
@@ -14,35 +14,35 @@
 
 
 @pytest.fixture
-def gate_open(monkeypatch, world):
+def admission_unchecked(monkeypatch, world):
     world.knows_leaving = False
     monkeypatch.setattr(Standing, "is_leaving", lambda standing: False)
 
 
-@breaks
-@pytest.mark.usefixtures("gate_open")
+@breaks_promise
+@pytest.mark.usefixtures("admission_unchecked")
 @scenario("leaving.feature", "An agent is told to stop while requests wait at it")
-def test_gate_is_needed_at_a_stop():
+def test_admission_check_is_needed_at_a_stop():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("gate_open")
+@breaks_promise
+@pytest.mark.usefixtures("admission_unchecked")
 @scenario(
     "leaving.feature",
-    "The instance list says so late, and an entry is killed",
+    "The instance list lags, and an entry is killed",
 )
-def test_gate_is_needed_after_a_notice():
+def test_admission_check_is_needed_after_a_notice():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("gate_open")
+@breaks_promise
+@pytest.mark.usefixtures("admission_unchecked")
 @scenario(
     "leaving.feature",
     "An operator drains an endpoint and the object API goes down",
 )
-def test_gate_is_needed_at_a_drain():
+def test_admission_check_is_needed_at_a_drain():
     pass
 
 
@@ -52,14 +52,14 @@
     world.fill([world.agent("tutor-east"), world.agent("tutor-west")])
 
 
-@when("the engine in the east is told to go")
-def tell_to_go(world):
+@when("the agent in the east is told to stop")
+def stop_agent(world):
     world.stopping = world.loop.create_task(world.system.stop_agent("tutor-east"))
-    world.run(let_run())
+    world.run(run_due_tasks())
 
 
-async def let_run():
-    """Let what is due run once."""
+async def run_due_tasks():
+    """Let the event loop run the tasks that are due."""
 
 
 @when("the instance list marks the east as leaving, with a lag")
@@ -88,8 +88,8 @@
     world.wait_in_force(revision)
 
 
-@when("the engines go on")
-def go_on(world):
+@when("the engines resume")
+def resume(world):
     world.release_engines()
     world.finish()
 
@@ -104,5 +104,5 @@
 @then("the engine in the east was given one request")
 def check_east(world):
     world.finish()
-    given = len(world.standin("tutor-east").started)
-    check(given == 1, f"the east was given {given}")
+    starts = len(world.standin("tutor-east").started)
+    check(starts == 1, f"the east was given {starts}")
--- a/test/promises/test_not_run.py
+++ b/test/promises/test_not_run.py
@@ -7,35 +7,35 @@
 from eelgrassrack.entry import dispatcher
 from eelgrassrack.mailbox.messages import Load, Start
 
-from .guards import breaks
-from .links import first_of
+from .guards import breaks_promise
+from .links import match_first
 from .world import NOT_RUN, TUTOR_EAST, TUTOR_WEST, check, make_serial_document
 
 scenarios("not_run.feature")
 
 
 @pytest.fixture
-def vows_forgotten(monkeypatch):
+def tombstones_ignored(monkeypatch):
     monkeypatch.setattr(Records, "add", lambda records, **vow: None)
 
 
 @pytest.fixture
-def last_word_counts(monkeypatch):
+def last_attempt_counts(monkeypatch):
     monkeypatch.setattr(dispatcher, "_select_result", lambda last, new: new)
 
 
-@breaks
-@pytest.mark.usefixtures("vows_forgotten")
+@breaks_promise
+@pytest.mark.usefixtures("tombstones_ignored")
 @scenario(
     "not_run.feature",
     'A request reaches its agent after its caller was told "not run"',
 )
-def test_vows_are_needed():
+def test_tombstones_are_needed():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("last_word_counts")
+@breaks_promise
+@pytest.mark.usefixtures("last_attempt_counts")
 @scenario(
     "not_run.feature",
     "Engines crash under requests and second attempts are refused",
@@ -44,9 +44,9 @@
     pass
 
 
-@when("a question with a deadline of one second is held up on its way")
-def ask_held_up(world):
-    world.links.fault(world.agent("tutor-east").address, holds=first_of(Start))
+@when("a question with a deadline of one second is delayed on its way")
+def ask_delayed(world):
+    world.links.fault(world.agent("tutor-east").address, holds=match_first(Start))
     world.ask("late", fields={"Eelgrassrack-Deadline": "1"})
 
 
@@ -55,10 +55,10 @@
     world.finish()
 
 
-@when("the question arrives at the agent after all")
-def arrive(world):
+@when("the delayed question arrives at the agent")
+def deliver(world):
     world.heal(world.agent("tutor-east").address)
-    # Whatever the agent does with it is done once this one is answered.
+    # Once this question is answered, the agent has handled the delayed one too.
     world.finish(world.ask("next"))
 
 
@@ -77,7 +77,7 @@
     world.fill([world.agent("tutor-east"), world.agent("tutor-west")])
 
 
-@when("what the agents report of their load is lost on its way")
+@when("the agents' load reports are lost")
 def lose_reports(world):
     for entry in world.system.entries.values():
         world.links.fault(
@@ -99,8 +99,8 @@
     world.finish()
     ran = [sent for sent in world.sent if world.count_starts(prompt=sent.prompt)]
     assert len(ran) >= 2
-    told = {(sent.answer.status, sent.answer.run) for sent in ran}
-    check(told == {(502, "ran")}, str(told))
+    outcomes = {(sent.answer.status, sent.answer.run) for sent in ran}
+    check(outcomes == {(502, "ran")}, str(outcomes))
 
 
 @when("forty questions with short deadlines come to both entries")
@@ -134,9 +134,11 @@
     check(starts == 0, f"started {starts} times")
 
 
-@then("some were refused as not run with a time to come back")
+@then("some were refused as not run with a Retry-After")
 def check_some(world):
     refused = [a for a in world.finish() if a.run == NOT_RUN and a.status != 200]
     check(bool(refused), "none was refused")
-    lacking = [a for a in refused if a.status in {429, 503} and not a.retry_after]
-    check(not lacking, str(lacking[:2]))
+    without_retry_after = [
+        a for a in refused if a.status in {429, 503} and not a.retry_after
+    ]
+    check(not without_retry_after, str(without_retry_after[:2]))
--- a/test/promises/test_permitted.py
+++ b/test/promises/test_permitted.py
@@ -5,7 +5,7 @@
 
 from eelgrassrack.document.snapshot import Snapshot
 
-from .guards import breaks
+from .guards import breaks_promise
 from .world import NOT_RUN, check
 
 scenarios("permitted.feature")
@@ -19,7 +19,7 @@
     monkeypatch.setattr(Snapshot, "allows", allow)
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("everything_allowed")
 @scenario(
     "permitted.feature",
@@ -29,7 +29,7 @@
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("everything_allowed")
 @scenario("permitted.feature", "An operator narrows what an organisation may use")
 def test_permission_is_needed_after_a_change():
@@ -63,16 +63,16 @@
 @then("the one for tutor/2 was refused as not allowed and not run")
 def check_refused(world):
     answer = world.finish()[-1]
-    told = (answer.status, answer.code, answer.run)
-    check(told == (403, "model_not_allowed", NOT_RUN), str(answer))
+    outcome = (answer.status, answer.code, answer.run)
+    check(outcome == (403, "model_not_allowed", NOT_RUN), str(answer))
 
 
 @then(parsers.parse("no engine was given another version than tutor/1 for the {name}"))
 def check_versions(world, name):
-    given = {
+    versions = {
         record.version
         for engine in world.engines
         for record in engine.started
         if record.prompt.startswith(name)
     }
-    check(given <= {"tutor/1"}, f"{name} got {given}")
+    check(versions <= {"tutor/1"}, f"{name} got {versions}")
--- a/test/promises/test_session.py
+++ b/test/promises/test_session.py
@@ -7,7 +7,7 @@
 
 from eelgrassrack.store.pins import Pin, Pins
 
-from .guards import breaks
+from .guards import breaks_promise
 from .world import NOT_RUN, check
 
 scenarios("session.feature")
@@ -23,18 +23,18 @@
     monkeypatch.setattr(Pins, "_create", create)
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("pins_unwritten")
 @scenario("session.feature", "Two entries see a new session at the same moment")
 def test_pins_are_needed():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("pins_unwritten")
 @scenario(
     "session.feature",
-    "The entry that pinned the sessions is lost and so were answers",
+    "The entry that pinned the sessions is killed after lost answers",
 )
 def test_pins_are_needed_after_a_kill():
     pass
@@ -94,13 +94,13 @@
     check(not moved, f"moved: {moved}")
 
 
-@then("the one with the token got the session's version")
+@then("the request with the token got the session's version")
 def check_token(world):
     first, second, _ = world.finish()
     check(second.status == 200 and second.version == first.version, str(second))
 
 
-@then("the one without was refused, not run, with a time to come back")
+@then("the request without was refused as not run with a Retry-After")
 def check_refused(world):
     answer = world.finish()[-1]
     check((answer.status, answer.run) == (503, NOT_RUN), str(answer))
@@ -109,5 +109,5 @@
 
 @then("both were refused because the session's version is withdrawn")
 def check_withdrawn(world):
-    told = {(a.status, a.code, a.run) for a in world.finish()[1:]}
-    check(told == {(410, "session_version_withdrawn", NOT_RUN)}, str(told))
+    outcomes = {(a.status, a.code, a.run) for a in world.finish()[1:]}
+    check(outcomes == {(410, "session_version_withdrawn", NOT_RUN)}, str(outcomes))
--- a/test/promises/test_whole_answer.py
+++ b/test/promises/test_whole_answer.py
@@ -8,8 +8,8 @@
 from eelgrassrack.entry.channels import Channel, Completed
 from eelgrassrack.mailbox.messages import Piece, Resume
 
-from .guards import breaks
-from .links import some
+from .guards import breaks_promise
+from .links import match_share
 from .world import check
 
 scenarios("whole_answer.feature")
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def pieces_unchecked(monkeypatch):
-    """Take pieces as they come and any end for a whole one."""
+    """Accept pieces in any order, and any end as that of a whole answer."""
 
     def take_piece(channel, piece, now):
         channel.begun = True
@@ -42,13 +42,13 @@
 
 
 @pytest.fixture
-def settled_forgotten(monkeypatch):
+def settled_answers_forgotten(monkeypatch):
     monkeypatch.setattr(attempts.Attempt, "may_be_forgotten", lambda attempt, now: True)
 
 
 @pytest.fixture
 def ids_unchecked(monkeypatch):
-    """Take a chunk with any id for one of this attempt."""
+    """Accept a chunk with any id as one of this attempt."""
 
     class AnyId(str):
         __slots__ = ()
@@ -70,59 +70,59 @@
 
 @pytest.fixture
 def ends_unchecked(monkeypatch):
-    """Take a stream without its end for a whole one."""
+    """Accept a stream without its end as a whole one."""
     monkeypatch.setattr(StreamedAnswer, "finish", lambda answer, headers: None)
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("pieces_unchecked")
-@scenario("whole_answer.feature", "Parcels are lost while answers are streamed")
-def test_numbers_are_needed():
+@scenario("whole_answer.feature", "Batches are lost while answers are streamed")
+def test_piece_numbers_are_needed():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("pieces_unchecked")
-@scenario("whole_answer.feature", "Parcels come late, twice and out of order")
-def test_order_is_needed():
+@scenario("whole_answer.feature", "Batches come late, twice and out of order")
+def test_piece_order_is_needed():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("ids_unchecked")
 @scenario("whole_answer.feature", "An engine gives the answer of another request")
-def test_ids_are_needed():
+def test_chunk_ids_are_needed():
     pass
 
 
-@breaks
+@breaks_promise
 @pytest.mark.usefixtures("ends_unchecked")
 @scenario(
     "whole_answer.feature",
-    "The engine ends its answers early and parcels are lost",
+    "The engine ends its answers early and batches are lost",
 )
-def test_ends_are_needed():
+def test_end_checks_are_needed():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("settled_forgotten")
+@breaks_promise
+@pytest.mark.usefixtures("settled_answers_forgotten")
 @scenario(
     "whole_answer.feature",
     "Bills are settled while the entry still lacks pieces",
 )
-def test_settled_answers_are_needed():
+def test_keeping_settled_answers_is_needed():
     pass
 
 
-@when("some pieces on the way to entry 0 are lost")
+@when("some pieces sent to entry 0 are lost")
 def lose_pieces(world):
-    world.links.fault(world.entry().address, loses=some(Piece))
+    world.links.fault(world.entry().address, loses=match_share(Piece))
 
 
-@when("parcels on the way to entry 0 come crossed and twice")
-def cross(world):
-    world.links.fault(world.entry().address, crosses=True)
+@when("batches to entry 0 arrive out of order and twice")
+def reorder(world):
+    world.links.fault(world.entry().address, reorders=True)
 
 
 @when("the missing pieces are not kept by the agents")
@@ -130,7 +130,7 @@
     monkeypatch.setattr(attempts, "MAX_KEPT_BYTES", 0)
 
 
-@when("what is asked again of the agents is held up")
+@when("the entries' requests for missing pieces are delayed")
 def hold_resumes(world):
     for endpoint in world.system.endpoints.values():
         world.links.fault(
@@ -147,15 +147,15 @@
     assert world.links.find(world.entry().address).lost
 
 
-@when("the ways are sound again")
+@when("the links are restored")
 def heal(world):
     for endpoint in world.system.endpoints.values():
         world.heal(endpoint.agent.address)
     world.heal(world.entry().address)
 
 
-@when("the engine in the east answers other requests than asked")
-def answer_others(world):
+@when("the engine in the east answers with the id of another request")
+def mix_up_answers(world):
     world.standin("tutor-east").answer_other_id = True
 
 
@@ -181,17 +181,17 @@
     )
 
 
-@then("no half answer looks whole")
-def check_halves(world):
+@then("no partial answer looks complete")
+def check_partial(world):
     for sent, answer in zip(world.sent, world.finish(), strict=True):
         tokens = len(answer.text.split())
         check(
             not answer.is_whole or tokens == sent.tokens,
-            f"{sent.prompt}: {tokens} of {sent.tokens} tokens look whole",
+            f"{sent.prompt}: {tokens} of {sent.tokens} tokens look complete",
         )
 
 
 @then("every caller was answered well before its deadline")
 def check_time(world):
-    took = world.loop.time() - world.asked_at
-    check(took < DEADLINE_SECONDS / 2, f"took {took:.1f} s")
+    seconds = world.loop.time() - world.asked_at
+    check(seconds < DEADLINE_SECONDS / 2, f"took {seconds:.1f} s")
--- a/test/promises/test_withdrawn.py
+++ b/test/promises/test_withdrawn.py
@@ -7,38 +7,38 @@
 from eelgrassrack.agent.pause import PauseWatch
 from eelgrassrack.mailbox.messages import Start
 
-from .guards import breaks
+from .guards import breaks_promise
 from .world import NOT_RUN, check
 
 scenarios("withdrawn.feature")
 
-FROZEN_SECONDS = 3.0
+PAUSE_SECONDS = 3.0
 
 
 @pytest.fixture
-def gate_open(monkeypatch):
+def admission_unchecked(monkeypatch):
     monkeypatch.setattr(Standing, "is_withdrawn", lambda standing, start: False)
 
 
 @pytest.fixture
-def pause_unnoticed(monkeypatch):
+def pause_undetected(monkeypatch):
     monkeypatch.setattr(PauseWatch, "notice", lambda watch: None)
 
 
-@breaks
-@pytest.mark.usefixtures("gate_open")
+@breaks_promise
+@pytest.mark.usefixtures("admission_unchecked")
 @scenario(
     "withdrawn.feature",
     "A version is withdrawn while requests for it wait at an agent",
 )
-def test_gate_is_needed():
+def test_admission_check_is_needed():
     pass
 
 
-@breaks
-@pytest.mark.usefixtures("pause_unnoticed")
+@breaks_promise
+@pytest.mark.usefixtures("pause_undetected")
 @scenario("withdrawn.feature", "An agent is frozen while the version is withdrawn")
-def test_pause_watch_is_needed():
+def test_pause_detection_is_needed():
     pass
 
 
@@ -59,8 +59,8 @@
     world.withdraw(version, team="releases", pattern="version *")
 
 
-@when("the engine goes on")
-def go_on(world):
+@when("the engine resumes")
+def resume(world):
     world.standin("tutor-east").never_answer = False
     world.finish()
 
@@ -70,22 +70,22 @@
     world.links.fault(world.agent("tutor-east").address, holds=lambda message: True)
 
 
-@when("the agent wakes, reads no message yet, and the engine goes on")
-def wake(world):
+@when("the agent and the engine resume, but the agent reads no message yet")
+def resume_without_messages(world):
     agent = world.agent("tutor-east")
-    world.clocks["tutor-east"].ahead += FROZEN_SECONDS
+    world.clocks["tutor-east"].ahead += PAUSE_SECONDS
     world.standin("tutor-east").never_answer = False
     world.wait(lambda: world.standin("tutor-east").whole >= 1)
     world.wait(lambda: not agent._core.slots)
 
 
-@when("the agent wakes, reads requests only, and the engine goes on")
-def wake_in_doubt(world):
+@when("the agent and the engine resume, but the agent reads requests only")
+def resume_reading_requests(world):
     agent = world.agent("tutor-east")
     world.links.find(agent.address).holds = lambda message: (
         not isinstance(message, Start)
     )
-    world.clocks["tutor-east"].ahead += FROZEN_SECONDS
+    world.clocks["tutor-east"].ahead += PAUSE_SECONDS
     world.standin("tutor-east").never_answer = False
     world.wait(lambda: world.standin("tutor-east").whole >= 1)
     world.wait(lambda: all(sent.task.done() for sent in world.sent[1:]))
@@ -114,8 +114,8 @@
 @then("the three were refused as withdrawn and not run")
 def check_refused(world):
     answers = world.finish()[1:]
-    told = {(a.status, a.code, a.run) for a in answers}
-    check(told == {(410, "version_withdrawn", NOT_RUN)}, str(told))
+    outcomes = {(a.status, a.code, a.run) for a in answers}
+    check(outcomes == {(410, "version_withdrawn", NOT_RUN)}, str(outcomes))
 
 
 @then("the engine was given tutor/2 once")
--- a/test/promises/world.py
+++ b/test/promises/world.py
@@ -1,4 +1,4 @@
-"""A whole system for one scenario, its callers, and what must hold of both."""
+"""One scenario's system and callers, and checks that the promises hold."""
 
 import asyncio
 import hashlib
@@ -23,14 +23,14 @@
 
 from .links import Links
 
-# Bills are flushed and looked after and engines polled this often instead of
-# about each second, for quick tests.
+# Entries flush bills, and agents resend bills and poll engines, this often instead
+# of about once a second.  This keeps the tests quick.
 FLUSH_SECONDS = 0.1
-LOOK_SECONDS = 0.25
-PATIENCE = 25.0
+AGENT_POLL_SECONDS = 0.25
+WAIT_SECONDS = 25.0
 POLL_SECONDS = 0.01
 TOKENS = 8
-MOST_TO_FILL = 20
+MAX_FILLING_REQUESTS = 20
 NOT_RUN = "not-run"
 KEYS = {"school": "school-key", "college": "college-key"}
 DIGESTS = {name: hashlib.sha256(key.encode()).hexdigest() for name, key in KEYS.items()}
@@ -72,11 +72,14 @@
 
 
 class PromiseBroken(AssertionError):  # noqa: N818
-    """What a caller, a stand-in or the ledger shows breaks a promise."""
+    """Callers, stand-ins or the ledger show that a promise is broken."""
 
 
-class Sent(msgspec.Struct, kw_only=True):
-    """A request, and what came of it."""
+class SentRequest(msgspec.Struct, kw_only=True):
+    """A request and its answer; `answer` is None until `World.finish` waits for it.
+
+    `prompt` is the idempotency key if the request goes to a service.
+    """
 
     prompt: str
     is_service: bool
@@ -86,7 +89,7 @@
 
 
 class Clock:
-    """A clock that a test can set ahead, as after a freeze."""
+    """A monotonic clock that a test can set ahead, as if its agent had frozen."""
 
     def __init__(self):
         self.ahead = 0.0
@@ -96,20 +99,21 @@
 
 
 class World:
-    """One system on a loop that runs only while a step waits.
+    """One system on an event loop that runs only while a step waits.
 
-    Each agent has a clock of its own in `clocks`.  A test in which a rule
-    is switched off may lower `patience`, for bills that never come, and
-    `call_seconds`, for answers that never come.
+    Each agent has its own clock in `clocks`.  A test that switches a rule off may
+    lower `wait_seconds`, the wait for bills or changes that never come, and
+    `call_seconds`, the wait for answers that never come.  It sets `knows_leaving`
+    to False if agents then don't notice that their instances are leaving.
     """
 
     def __init__(self, monkeypatch):
         monkeypatch.setattr(system, "Agent", self._make_agent)
         monkeypatch.setattr(entry, "FLUSH_SECONDS", FLUSH_SECONDS)
-        monkeypatch.setattr(agent, "SWEEP_SECONDS", LOOK_SECONDS)
-        monkeypatch.setattr(agent, "POLL_SECONDS", LOOK_SECONDS)
+        monkeypatch.setattr(agent, "SWEEP_SECONDS", AGENT_POLL_SECONDS)
+        monkeypatch.setattr(agent, "POLL_SECONDS", AGENT_POLL_SECONDS)
         self.clocks = {}
-        self.patience = PATIENCE
+        self.wait_seconds = WAIT_SECONDS
         self.call_seconds = CALL_SECONDS
         self.knows_leaving = True
         self.loop = asyncio.new_event_loop()
@@ -118,12 +122,12 @@
         self.system = None
         self.callers = {}
 
-    def _make_agent(self, *, settings, **more):
+    def _make_agent(self, *, settings, **options):
         clock = self.clocks[settings.name] = Clock()
-        return Agent(settings=settings, clock=clock, **more)
+        return Agent(settings=settings, clock=clock, **options)
 
-    def run(self, coroutine, seconds=PATIENCE):
-        """Run a coroutine to its end within a bound."""
+    def run(self, coroutine, seconds=WAIT_SECONDS):
+        """Run a coroutine and return its result; raise TimeoutError after `seconds`."""
 
         async def bounded():
             async with asyncio.timeout(seconds):
@@ -143,6 +147,8 @@
         self.run(begin())
 
     def close(self):
+        """Cancel requests that still run and stop the system."""
+
         async def end():
             for sent in self.sent:
                 sent.task.cancel()
@@ -154,8 +160,8 @@
         self.run(end())
         self.loop.close()
 
-    def wait(self, condition, seconds=PATIENCE):
-        """Wait until a condition holds."""
+    def wait(self, condition, seconds=WAIT_SECONDS):
+        """Wait until a condition holds; raise TimeoutError after `seconds`."""
 
         async def poll():
             while not condition():
@@ -164,26 +170,31 @@
         self.run(poll(), seconds)
 
     def standin(self, name):
+        """Return the engine or service stand-in of an endpoint."""
         return self.system.endpoints[name].standin
 
     def agent(self, name):
+        """Return the agent of an endpoint."""
         return self.system.endpoints[name].agent
 
     def entry(self, number=0):
+        """Return an entry by its number; raise KeyError if it was killed."""
         return self.system.entries[f"entry-{number}"]
 
     @property
     def engines(self):
-        standins = (each.standin for each in self.system.endpoints.values())
-        return [each for each in standins if isinstance(each, Engine)]
+        """The engine stand-ins of all endpoints."""
+        standins = (endpoint.standin for endpoint in self.system.endpoints.values())
+        return [standin for standin in standins if isinstance(standin, Engine)]
 
     @property
     def services(self):
-        standins = (each.standin for each in self.system.endpoints.values())
-        return [each for each in standins if isinstance(each, PlainService)]
+        """The service stand-ins of all endpoints."""
+        standins = (endpoint.standin for endpoint in self.system.endpoints.values())
+        return [standin for standin in standins if isinstance(standin, PlainService)]
 
     def crash_engine(self):
-        """Crash an engine once one runs something."""
+        """Wait until an engine runs a request, then crash that engine."""
         self.wait(lambda: any(engine.running for engine in self.engines))
 
         async def crash():
@@ -192,22 +203,22 @@
         self.run(crash())
 
     def hold_engines(self):
-        """Let the engines run what they have without an end."""
+        """Keep the requests of all engines running until `release_engines`."""
         for engine in self.engines:
             engine.never_answer = True
 
     def release_engines(self):
-        """Let the engines go on."""
+        """Let the engines finish their requests again."""
         for engine in self.engines:
             engine.never_answer = False
 
     def fill(self, agents):
-        """Send questions until one runs and one waits at each agent."""
+        """Send questions until at least one runs and one waits at each agent."""
 
         def is_full(agent):
             return agent._attempts.running and len(agent._core.room)
 
-        for number in range(MOST_TO_FILL):
+        for number in range(MAX_FILLING_REQUESTS):
             self.ask(f"filling {number}", entry=number % 2)
             count = number + 1
             self.wait(
@@ -217,10 +228,10 @@
             )
             if all(is_full(agent) for agent in agents):
                 return
-        raise AssertionError("the agents never became full")
+        raise AssertionError("some agent has no running or no waiting request")
 
     def count_starts(self, prompt=None, version=None):
-        """Return how often engines were given a prompt or a version."""
+        """Return how many requests reached engines, of a prompt or a version."""
         return sum(
             (prompt is None or record.prompt == prompt)
             and (version is None or record.version == version)
@@ -229,7 +240,7 @@
         )
 
     def count_effects(self, key):
-        """Return how often services carried out a key."""
+        """Return how often services carried out the request with a key."""
         return sum(service.effects_by_key[key] for service in self.services)
 
     def ask(
@@ -241,9 +252,12 @@
         model="tutor",
         tokens=TOKENS,
         fields=None,
-        **more,
+        **options,
     ):
-        """Send a chat request without waiting for its answer."""
+        """Send a chat request without waiting for its answer.
+
+        `fields` are headers of the request.
+        """
         work = self.callers[caller].chat(
             url=self.entry(entry).url,
             model=model,
@@ -251,12 +265,15 @@
             max_tokens=tokens,
             fields=fields,
             timeout=self.call_seconds,
-            **more,
+            **options,
         )
         return self._send(prompt, work, tokens=tokens)
 
     def issue(self, key, *, entry=0, fields=None):
-        """Send a request that may not be repeated, without waiting."""
+        """Ask for a credential without waiting for the answer.
+
+        Such a request may not be repeated.  `key` is its idempotency key.
+        """
         work = self.callers["school"].send(
             url=f"{self.entry(entry).url}/v1/services/registry/credentials",
             body=key.encode(),
@@ -266,23 +283,29 @@
 
     def _send(self, prompt, work, *, is_service=False, tokens=0):
         task = self.loop.create_task(work)
-        sent = Sent(prompt=prompt, is_service=is_service, tokens=tokens, task=task)
+        sent = SentRequest(
+            prompt=prompt, is_service=is_service, tokens=tokens, task=task
+        )
         self.sent.append(sent)
         return sent
 
     def finish(self, *requests):
-        """Wait for the answers of these requests, or of all."""
-        chosen = requests or tuple(self.sent)
+        """Wait for the answers to these requests, or to all, and return them."""
+        awaited = requests or tuple(self.sent)
 
         async def gather():
-            for sent in chosen:
+            for sent in awaited:
                 sent.answer = await sent.task
 
         self.run(gather())
-        return [sent.answer for sent in chosen]
+        return [sent.answer for sent in awaited]
 
     def apply(self, old, new, *, team="operations", pattern="*", wait=True):
-        """Change the document; wait until the change is in force."""
+        """Replace `old` by `new` in the document; return the new revision.
+
+        Retries while the object API is unavailable.  With `wait` it returns once
+        all entries have the revision.
+        """
 
         async def change():
             head = await self.system.operator.read()
@@ -313,18 +336,20 @@
             now=time.time(),
         )
 
-    def withdraw(self, version, **more):
+    def withdraw(self, version, **options):
+        """Withdraw a version; return the new revision.  Options as in `apply`."""
         header = f"[version {version}]\n"
-        return self.apply(header, f"{header}state = withdrawn\n", **more)
+        return self.apply(header, f"{header}state = withdrawn\n", **options)
 
-    def take_out(self, domain, **more):
+    def take_out(self, domain, **options):
+        """Take a domain out; return the new revision.  Options as in `apply`."""
         header = f"[domain {domain}]\n"
-        return self.apply(header, f"{header}state = out\n", **more)
+        return self.apply(header, f"{header}state = out\n", **options)
 
     def kill_entry(self, number):
-        """Kill an entry; the instance list drops it only after that.
+        """Kill an entry, then remove it from the instance list.
 
-        Its mailbox is closed first: a killed process withdraws no attempt.
+        Closes its mailbox first, since a killed process can't withdraw attempts.
         """
 
         async def kill():
@@ -336,20 +361,24 @@
 
         self.run(kill())
 
-    def heal(self, name):
-        """Let everything through to a daemon, on the running loop."""
+    def heal(self, address):
+        """Restore the link to a mailbox while the event loop runs."""
 
         async def heal():
-            self.links.heal(name)
+            self.links.heal(address)
 
         self.run(heal())
 
     def wait_in_force(self, revision):
-        """Wait until entries and agents have a revision in force."""
+        """Wait until all entries and agents have a revision in force."""
         self.wait(lambda: self.system.is_ready(revision=revision))
 
     def check_all(self):
-        """Hold everything callers got against engines, services and ledgers."""
+        """Check all answers against engines, services and ledgers.
+
+        Raises `PromiseBroken` if one of them shows a broken promise, or if the
+        program has counted one.
+        """
         answered = [sent for sent in self.sent if sent.answer is not None]
         for sent in answered:
             self._check_answer(sent)
@@ -361,12 +390,13 @@
         answer = sent.answer
         if answer.run == NOT_RUN and answer.status != 200:
             runs = self._count_runs(sent)
-            twins = [
+            # Another request with the same prompt may account for the runs.
+            others = [
                 s
                 for s in self.sent
                 if s.prompt == sent.prompt and s.answer and s.answer.run != NOT_RUN
             ]
-            check(not runs or twins, f"{sent.prompt}: not-run, ran {runs} times")
+            check(not runs or others, f"{sent.prompt}: not-run, ran {runs} times")
         if answer.status != 200:
             return
         if sent.is_service:
@@ -384,23 +414,29 @@
         return self.count_starts(sent.prompt)
 
     def _check_bills(self, answered):
-        # A resend has a request id of its own but is no other request.
+        # A resend has its own request id, but it is billed with the first request.
         whole = {
             s.prompt if s.is_service else s.answer.request
             for s in answered
             if s.answer.status == 200
         }
-        exact = all(s.answer.status == 200 or s.answer.run == NOT_RUN for s in answered)
+        # Requests with another outcome may have been billed as well.
+        is_exact = all(
+            s.answer.status == 200 or s.answer.run == NOT_RUN for s in answered
+        )
         totals = self.wait_billed(len(whole))
         billed = count_billed(totals)
         check(not totals.doubled, f"billed twice: {totals.doubled}")
-        fits = billed == len(whole) if exact else billed >= len(whole)
+        fits = billed == len(whole) if is_exact else billed >= len(whole)
         check(fits, f"{billed} billed, {len(whole)} answered")
 
     def wait_billed(self, count):
-        """Wait until so many requests are billed; return all bills."""
+        """Wait until `count` requests are billed; return the totals of all bills.
+
+        After `wait_seconds` it returns the totals as they are.
+        """
         totals = self.run(self._read_bills())
-        ends_at = time.monotonic() + self.patience
+        ends_at = time.monotonic() + self.wait_seconds
         while count_billed(totals) < count and time.monotonic() < ends_at:
             self.run(asyncio.sleep(POLL_SECONDS))
             totals = self.run(self._read_bills())
@@ -428,5 +464,5 @@
 
 def make_serial_document():
     """Return the document for engines that run one request at a time."""
-    narrow = "concurrency = 1\ncold_concurrency = 1"
-    return DOCUMENT.replace("concurrency = 8", narrow)
+    serial = "concurrency = 1\ncold_concurrency = 1"
+    return DOCUMENT.replace("concurrency = 8", serial)
