--- a/eelgrassrack/agent/waitingroom.py
+++ b/eelgrassrack/agent/attemptqueue.py
@@ -1,8 +1,8 @@
-"""Attempts that wait: for their turn, for newer facts, or to run alone.
+"""The queue of attempts that wait for their turn or for newer facts.
 
-The room is bounded in number and bytes.  When it is full a newcomer doesn't
-simply bounce: one of the organisation with the largest share gives way, so
-that a burst pushes out its own and not a quiet organisation's request.
+The queue is bounded in number and bytes.  When it is full, a request of the
+organisation with the largest share is displaced rather than the newest one, so
+that a burst displaces its own requests and not those of a quiet organisation.
 """
 
 import collections
@@ -12,75 +12,86 @@
 from ..decisions.fairqueue import FairQueue, QueuedRequest
 from ..decisions.waiting import count_ahead, is_patient
 from .attempts import Attempt
-from .drain import Drain, find_retry_after
+from .drainrate import DrainRate, find_retry_after
 
-# The bytes bound the agent's memory, the number the work of one turn.
+# The byte limit bounds the agent's memory, the count the work per iteration.
 MAX_WAITING = 512
 MAX_BYTES = 16_000_000
 
-# Organisations named in a load report, which goes out each second.
-MOST_REPORTED = 8
+# Limit for the organisations in a load report, which is sent every second.
+MAX_REPORTED_ORGANISATIONS = 8
 
 
-class WaitingRoom:
-    """All attempts that wait."""
+class AttemptQueue:
+    """The waiting attempts.
+
+    `deferred` holds those that wait for newer facts, by name.  `drain_rate`
+    is the measured rate of the endpoint.
+    """
 
     __slots__ = (
         "_attempts",
-        "_bookings",
         "_bytes",
-        "_own",
-        "_patient",
+        "_patient_tokens_by",
         "_queue",
-        "drain",
-        "held",
+        "_retries",
+        "_tokens_by",
+        "deferred",
+        "drain_rate",
     )
 
     def __init__(self) -> None:
-        self.drain = Drain()
-        self.held: dict[str, Attempt] = {}
+        self.drain_rate = DrainRate()
+        self.deferred: dict[str, Attempt] = {}
         self._queue = FairQueue()
         self._attempts: dict[str, Attempt] = {}
-        self._bookings = RetrySchedule()
+        self._retries = RetrySchedule()
         self._bytes = 0
-        self._own: collections.Counter[str] = collections.Counter()
-        self._patient: collections.Counter[str] = collections.Counter()
+        self._tokens_by: collections.Counter[str] = collections.Counter()
+        self._patient_tokens_by: collections.Counter[str] = collections.Counter()
 
     def __len__(self) -> int:
-        """Return how many wait for their turn or for facts."""
-        return len(self._attempts) + len(self.held)
+        """Return how many attempts wait for their turn or for newer facts."""
+        return len(self._attempts) + len(self.deferred)
 
     @property
     def tokens(self) -> int:
-        """Return the tokens of all that wait for their turn."""
+        """Return the tokens of all attempts that wait for their turn."""
         return self._queue.tokens
 
     @property
     def is_full(self) -> bool:
-        """Tell whether somebody has to give way."""
+        """Return whether the queue is over its limits and must displace one."""
         return len(self) > MAX_WAITING or self._bytes > MAX_BYTES
 
     def find_largest(self) -> dict[str, int]:
-        """Return the organisations with most tokens waiting, with these."""
-        return dict(self._own.most_common(MOST_REPORTED))
+        """Return the organisations with most waiting tokens, with the tokens."""
+        return dict(self._tokens_by.most_common(MAX_REPORTED_ORGANISATIONS))
 
     def find_patient(self) -> dict[str, int]:
-        """Return of these organisations the tokens of patient requests."""
+        """Return the tokens of patient requests of the organisations in `find_largest`.
+
+        A patient request is a long job with time to spare.
+        """
         largest = self.find_largest()
-        return {name: self._patient[name] for name in largest if self._patient[name]}
+        return {
+            name: self._patient_tokens_by[name]
+            for name in largest
+            if self._patient_tokens_by[name]
+        }
 
     def estimate_wait(
         self, attempt: Attempt, *, weights: dict[str, float], window: int
     ) -> float:
         """Return the seconds that an attempt is expected to wait."""
         start = attempt.start
-        waiting = {*self._own, start.organisation}
-        own = self._own[start.organisation]
-        patient = self._patient[start.organisation]
+        waiting = {*self._tokens_by, start.organisation}
+        own = self._tokens_by[start.organisation]
+        patient = self._patient_tokens_by[start.organisation]
         alike = patient if _is_patient(attempt) else own - patient
         backlog = Backlog(
             tokens=self.tokens,
-            drain=self.drain.find_rate(window=window),
+            drain=self.drain_rate.find_rate(window=window),
             own=count_ahead(own=own, alike=alike),
             weights=sum(weights.get(name, 1.0) for name in waiting),
         )
@@ -90,20 +101,20 @@
         weight = weights.get(start.organisation, 1.0)
         return estimate_wait(arrival=arrival, weight=weight, backlog=backlog)
 
-    def find_retry(self, *, tokens: int, window: int, now: float) -> float:
-        """Return when a refused caller should come back.
+    def estimate_retry_after(self, *, tokens: int, window: int, now: float) -> float:
+        """Return in how many seconds a refused caller should retry.
 
-        Each refusal books the next stretch of the drain, so that those
-        refused together don't come back together.
+        Each refusal reserves the next free time at the drain rate, so that callers
+        refused together don't retry together.
         """
-        rate = self.drain.find_rate(window=window)
+        rate = self.drain_rate.find_rate(window=window)
         if not rate:
             return find_retry_after(0.0)
-        ahead = self._bookings.reserve(amount=tokens, rate=rate, now=now)
+        ahead = self._retries.reserve(amount=tokens, rate=rate, now=now)
         return find_retry_after(self.tokens / rate + ahead)
 
     def add(self, attempt: Attempt, *, weight: float) -> None:
-        """Let an attempt wait for its turn."""
+        """Queue an attempt for its turn."""
         start = attempt.start
         waiting = QueuedRequest(
             key=start.attempt,
@@ -122,29 +133,29 @@
     def pop(
         self, *, now: float, may_start: Callable[[QueuedRequest], bool] | None = None
     ) -> Attempt | None:
-        """Take out the attempt whose turn it is, of those that may start."""
+        """Remove and return the next attempt that may start, or None."""
         waiting = self._queue.pop(now=now, may_start=may_start)
         return None if waiting is None else self._forget(waiting.key)
 
     def discard(self, attempt: Attempt) -> None:
-        """Take out an attempt, wherever it waits."""
-        self.held.pop(attempt.key, None)
+        """Remove an attempt, whatever it waits for."""
+        self.deferred.pop(attempt.key, None)
         if self._queue.discard(key=attempt.key) is not None:
             self._forget(attempt.key)
 
     def expire(self, *, now: float) -> list[Attempt]:
-        """Take out and return those whose deadline has passed."""
+        """Remove and return the attempts whose deadline has passed."""
         return [self._forget(each.key) for each in self._queue.expire(now=now)]
 
     def find_displaced(self) -> Attempt | None:
-        """Return who gives way in a full room."""
+        """Return the attempt to displace from a full queue, or None."""
         waiting = self._queue.find_displaced(limit=-1)
         return None if waiting is None else self._attempts[waiting.key]
 
-    def release_held(self) -> list[Attempt]:
-        """Take out and return all that wait for facts."""
-        held, self.held = self.held, {}
-        return list(held.values())
+    def pop_deferred(self) -> list[Attempt]:
+        """Remove and return all attempts that wait for newer facts."""
+        deferred, self.deferred = self.deferred, {}
+        return list(deferred.values())
 
     def _forget(self, key: str) -> Attempt:
         attempt = self._attempts.pop(key)
@@ -154,12 +165,12 @@
     def _count(self, attempt: Attempt, sign: int) -> None:
         start = attempt.start
         self._bytes += sign * len(start.body)
-        self._own[start.organisation] += sign * start.tokens
+        self._tokens_by[start.organisation] += sign * start.tokens
         if _is_patient(attempt):
-            self._patient[start.organisation] += sign * start.tokens
-        if self._own[start.organisation] <= 0:
-            del self._own[start.organisation]
-            self._patient.pop(start.organisation, None)
+            self._patient_tokens_by[start.organisation] += sign * start.tokens
+        if self._tokens_by[start.organisation] <= 0:
+            del self._tokens_by[start.organisation]
+            self._patient_tokens_by.pop(start.organisation, None)
 
 
 def _is_patient(attempt: Attempt) -> bool:
--- a/eelgrassrack/agent/engine.py
+++ b/eelgrassrack/agent/engine.py
@@ -1,4 +1,4 @@
-"""HTTP to the one endpoint of an agent, by tornado's curl client."""
+"""HTTP requests to the agent's endpoint, through tornado's curl client."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,34 +16,35 @@
 MAX_EXCHANGES = 512
 CONNECT_SECONDS = 2.0
 
-# The runner ends an attempt at its deadline; curl's own limit only catches
-# an exchange that the runner lost sight of.
+# Added to curl's own timeout.  The runner ends an attempt at its deadline; curl's
+# timeout is only a safety net for an exchange that the runner no longer tracks.
 CURL_EXTRA_SECONDS = 5.0
 
 BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 
 
 class Engine(Protocol):
-    """What a runner needs of the endpoint."""
+    """The endpoint as a runner uses it."""
 
     async def run(
         self,
         *,
         start: Start,
         exchange: Exchange,
-        within: float,
+        timeout: float,
         on_begun: Callable[[], bool],
         on_piece: Callable[[bytes], None],
     ) -> Outcome:
-        """Send one request and hand on its answer.
+        """Send one request, pass on its answer and return the outcome.
 
-        `on_begun` is called once before the first byte is sent; when it
-        returns false nothing is sent.
+        `timeout` is in seconds.  `on_begun` is called once, before the first byte
+        is sent; if it returns false, nothing is sent.  `on_piece` is called with
+        each piece of the answer.
         """
 
 
 class HttpEngine:
-    """The endpoint, reached by HTTP."""
+    """An endpoint that is reached over HTTP."""
 
     __slots__ = ("_client", "_url")
 
@@ -60,11 +61,11 @@
         *,
         start: Start,
         exchange: Exchange,
-        within: float,
+        timeout: float,
         on_begun: Callable[[], bool],
         on_piece: Callable[[bytes], None],
     ) -> Outcome:
-        """Send one request and hand on its answer in pieces."""
+        """Send one request, pass on its answer and return the outcome."""
         transfer = Transfer(
             exchange=exchange, answer=make_answer(start, on_piece), on_begun=on_begun
         )
@@ -77,7 +78,7 @@
             follow_redirects=False,
             decompress_response=False,
             connect_timeout=CONNECT_SECONDS,
-            request_timeout=within + CURL_EXTRA_SECONDS,
+            request_timeout=timeout + CURL_EXTRA_SECONDS,
             prepare_curl_callback=transfer.prepare,
         )
         try:
--- a/eelgrassrack/load/plot.py
+++ b/eelgrassrack/load/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a run, drawn by matplotlib where it is installed."""
+"""Plot of a run; needs matplotlib, an optional dependency."""
 
 import importlib.util
 import pathlib
@@ -12,7 +12,10 @@
 
 
 def check_plot(path: str) -> None:
-    """Raise a `UserError` if no picture can be drawn, before a run is spent."""
+    """Raise a `UserError` if no plot can be drawn.
+
+    Called before the run, so that its results aren't lost.
+    """
     if importlib.util.find_spec("matplotlib") is None:
         raise UserError("--plot needs matplotlib: install eelgrassrack[plots]")
     if not pathlib.Path(path).resolve().parent.is_dir():
@@ -20,7 +23,7 @@
 
 
 def draw_report(report: Report, path: str) -> None:
-    """Draw requests by second of arrival, and times by kind."""
+    """Plot requests by second of arrival, and answer times by kind, to a file."""
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -37,11 +40,11 @@
     above.set(xlabel="second of arrival", ylabel="requests")
     above.legend(loc="upper right")
     rows = [row for row in report.rows if row.whole.count]
-    places = range(len(rows))
+    positions = range(len(rows))
     for name, height in (("p99", 0.8), ("p95", 0.6), ("p50", 0.4)):
         values = [getattr(row.whole, name) for row in rows]
-        below.barh(places, values, height=height, label=name, alpha=0.6)
-    below.set_yticks(places, [f"{row.organisation}: {row.kind}" for row in rows])
+        below.barh(positions, values, height=height, label=name, alpha=0.6)
+    below.set_yticks(positions, [f"{row.organisation}: {row.kind}" for row in rows])
     below.set(xlabel="whole answer, ms from arrival")
     below.legend(loc="lower right")
     figure.tight_layout()
--- a/eelgrassrack/mailbox/codec.py
+++ b/eelgrassrack/mailbox/codec.py
@@ -1,28 +1,28 @@
-"""Parcels as MessagePack bytes and back."""
+"""Encode message batches as MessagePack, and decode them."""
 
 import msgspec
 
 from .errors import MailboxError
-from .messages import PROTOCOL, Parcel
+from .messages import PROTOCOL, MessageBatch
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Parcel)
+_decoder = msgspec.msgpack.Decoder(MessageBatch)
 
 
-def encode_parcel(parcel: Parcel) -> bytes:
-    """Return a parcel as bytes."""
-    return _encoder.encode(parcel)
+def encode_batch(batch: MessageBatch) -> bytes:
+    """Return a message batch as bytes."""
+    return _encoder.encode(batch)
 
 
-def decode_parcel(data: bytes) -> Parcel:
-    """Return the parcel that the bytes hold.
+def decode_batch(data: bytes) -> MessageBatch:
+    """Return the message batch that the bytes encode.
 
-    Raise `MailboxError` for bytes of another protocol or of none.
+    Raise `MailboxError` if the bytes are invalid or of another protocol version.
     """
     try:
-        parcel = _decoder.decode(data)
+        batch = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MailboxError(f"a parcel can't be read: {error}") from error
-    if parcel.protocol != PROTOCOL:
-        raise MailboxError(f"a parcel of protocol {parcel.protocol} came")
-    return parcel
+        raise MailboxError(f"can't decode a message batch: {error}") from error
+    if batch.protocol != PROTOCOL:
+        raise MailboxError(f"a message batch of protocol {batch.protocol} came")
+    return batch
--- a/eelgrassrack/ui/statuses.py
+++ b/eelgrassrack/ui/statuses.py
@@ -1,4 +1,4 @@
-"""The asking of many entries for their status at once."""
+"""Concurrent requests for the status of several entries."""
 
 import asyncio
 from collections.abc import Iterable
@@ -10,8 +10,8 @@
 from .tools import Tools
 
 
-class Silent(msgspec.Struct, kw_only=True, frozen=True):
-    """An entry that gave no usable answer."""
+class StatusFailure(msgspec.Struct, kw_only=True, frozen=True):
+    """An entry that didn't answer with a readable status, and the reason."""
 
     url: str
     reason: str
@@ -19,17 +19,17 @@
 
 async def fetch_statuses(
     *, tools: Tools, urls: Iterable[str]
-) -> tuple[EntryStatus | Silent, ...]:
-    """Ask all entries at once."""
+) -> tuple[EntryStatus | StatusFailure, ...]:
+    """Request the status of all entries at once; the results keep their order."""
     statuses = await asyncio.gather(*(_fetch_status(tools, url) for url in urls))
     return tuple(statuses)
 
 
-async def _fetch_status(tools: Tools, url: str) -> EntryStatus | Silent:
+async def _fetch_status(tools: Tools, url: str) -> EntryStatus | StatusFailure:
     try:
         body = await tools.fetch(f"{url.rstrip('/')}/status")
         return msgspec.json.decode(body, type=EntryStatus)
     except UnavailableError as error:
-        return Silent(url=url, reason=str(error))
+        return StatusFailure(url=url, reason=str(error))
     except msgspec.DecodeError as error:
-        return Silent(url=url, reason=f"unreadable status: {error}")
+        return StatusFailure(url=url, reason=f"unreadable status: {error}")
--- a/test/agent/fakes.py
+++ b/test/agent/fakes.py
@@ -1,23 +1,23 @@
-"""Stand-ins for what surrounds an agent's core: clock, endpoint, entries."""
+"""Fakes of what surrounds an agent's core: clock, endpoint and entries."""
 
 import asyncio
 
+from eelgrassrack.agent.admission import AgentState
 from eelgrassrack.agent.attempts import Attempts
 from eelgrassrack.agent.core import make_core
 from eelgrassrack.agent.custody import BillKeeper
-from eelgrassrack.agent.entries import Entries
-from eelgrassrack.agent.gate import Standing
+from eelgrassrack.agent.entries import EntryDirectory
 from eelgrassrack.agent.inbox import Inbox
 from eelgrassrack.agent.intake import Intake
 from eelgrassrack.agent.outbox import Outbox
-from eelgrassrack.agent.outcomes import NotConnected, Stopped, Usage, Whole
-from eelgrassrack.agent.pause import PauseWatch
+from eelgrassrack.agent.outcomes import Completed, NotConnected, Stopped, Usage
+from eelgrassrack.agent.pause import PauseDetector
 from eelgrassrack.agent.quarantine import Quarantine
 from eelgrassrack.agent.relay import Relay
 from eelgrassrack.agent.replies import Replies
 from eelgrassrack.agent.runner import Runner
 from eelgrassrack.invariants import Invariants
-from eelgrassrack.mailbox.messages import Facts, Parcel, Presence, Start
+from eelgrassrack.mailbox.messages import Facts, MessageBatch, Presence, Start
 from eelgrassrack.metrics import Metrics
 from eelgrassrack.settings import MetricSettings
 
@@ -26,10 +26,10 @@
 OTHER = "tcp://127.0.0.1:2"
 VERSION = "m/1"
 FACTS = Facts(revision=1, serves=(VERSION,), concurrency=2, cold_concurrency=2)
-WHOLE = Whole(status=200, usage=Usage(prompt_tokens=3, completion_tokens=5))
+WHOLE = Completed(status=200, usage=Usage(prompt_tokens=3, completion_tokens=5))
 
-# Turns of the loop in which everything that is due has happened.
-TURNS = 8
+# Iterations of the event loop after which all pending work is done.
+LOOP_ITERATIONS = 8
 
 
 class Call:
@@ -43,7 +43,11 @@
 
 
 class FakeEngine:
-    """An endpoint that connects and ends when the test says so."""
+    """An endpoint whose connections and answers are controlled by the test.
+
+    `connects` is whether it accepts connections at once, and `refuses` whether it
+    refuses them.  `ran` lists the attempts that started.
+    """
 
     def __init__(self):
         self.connects = True
@@ -51,7 +55,7 @@
         self.calls = {}
         self.ran = []
 
-    async def run(self, *, start, exchange, within, on_begun, on_piece):
+    async def run(self, *, start, exchange, timeout, on_begun, on_piece):
         if self.refuses:
             return NotConnected(reason="refused")
         call = Call(exchange=exchange, on_piece=on_piece)
@@ -69,7 +73,7 @@
             call.outcome.set_result(outcome)
 
     def end_stopped(self):
-        """End what was stopped, as a closed connection does."""
+        """End the stopped exchanges, as their closed connections would."""
         for attempt, call in self.calls.items():
             if call.exchange.stopped:
                 call.connected.set()
@@ -77,7 +81,11 @@
 
 
 class Station:
-    """An agent's core with fakes around it; time moves by `advance`."""
+    """An agent's core with fakes around it; time moves by `advance`.
+
+    The state machine in test_attempts.py uses this class.  Hypothesis seeds that
+    machine from its source, so a new name here would change the examples it draws.
+    """
 
     def __init__(self):
         self.now = 100.0
@@ -87,28 +95,30 @@
         self.due = []
         self.engine = FakeEngine()
         self.invariants = Invariants(strict=True)
-        self.standing = Standing(endpoint="x", domain="d", pool="p", incarnation=AGENT)
-        self.entries = Entries(name="x")
+        self.standing = AgentState(
+            endpoint="x", domain="d", pool="p", incarnation=AGENT
+        )
+        self.entries = EntryDirectory(name="x")
         self.attempts = Attempts(now=self.now)
         self.build()
 
     def build(self):
-        outbox = Outbox(post=self.post, later=lambda _, call: self.due.append(call))
+        outbox = Outbox(post=self.post, schedule=lambda _, call: self.due.append(call))
         metrics = Metrics(settings=MetricSettings())
         relay = Relay(attempts=self.attempts, outbox=outbox, metrics=metrics)
-        self.pause = PauseWatch(
-            standing=self.standing,
+        self.pause = PauseDetector(
+            state=self.standing,
             entries=self.entries,
             post=self.post,
             clock=self.clock,
         )
         self.core = make_core(
-            standing=self.standing,
+            state=self.standing,
             attempts=self.attempts,
             relay=relay,
             clock=self.clock,
             invariants=self.invariants,
-            notice=self.pause.notice,
+            detect_pause=self.pause.detect_pause,
         )
         self.intake = Intake(core=self.core)
         self.runner = Runner(
@@ -132,20 +142,20 @@
             replies=Replies(
                 attempts=self.attempts,
                 relay=relay,
-                standing=self.standing,
+                state=self.standing,
                 clock=self.clock,
             ),
             pause=self.pause,
             quarantine=Quarantine(),
             post=self.post,
-            on_newer=lambda: None,
+            on_new_revision=lambda: None,
         )
 
     def clock(self):
         return self.now
 
     def answer(self, revision=1):
-        """Return the heartbeat that answers the agent's last question."""
+        """Return the heartbeat that confirms the facts after a pause."""
         return make_presence("e.1.1", revision=revision, answers=self.standing.question)
 
     def post(self, to, message):
@@ -155,14 +165,14 @@
         return self.alive
 
     async def take(self, *messages, sender=ENTRY, incarnation="e.1"):
-        """Deliver a parcel and return what the agent says to it."""
-        parcel = Parcel(
+        """Deliver a message batch and return the messages that the agent sends."""
+        batch = MessageBatch(
             address=sender, incarnation=incarnation, messages=list(messages)
         )
-        return await self.watch(lambda: self.inbox.deliver(parcel))
+        return await self.watch(lambda: self.inbox.deliver(batch))
 
     async def advance(self, seconds):
-        """Let time pass in ticks and return what the agent says."""
+        """Let time pass in ticks and return the messages that the agent sends."""
         said = []
         steps = max(round(seconds / 0.25), 1)
         for _ in range(steps):
@@ -177,7 +187,7 @@
         return [message for _, message in self.sent[begin:]]
 
     async def settle(self):
-        for _ in range(TURNS):
+        for _ in range(LOOP_ITERATIONS):
             self.engine.end_stopped()
             await asyncio.sleep(0)
             due, self.due[:] = list(self.due), []
--- a/test/load/test_pages.py
+++ b/test/load/test_pages.py
@@ -1,9 +1,9 @@
-"""Tests that the operators' page tells every key of a load plan."""
+"""Tests that the operators' page lists every key of a load plan."""
 
 import pathlib
 
 from eelgrassrack.document.checks import describe_check
-from eelgrassrack.document.fields import format_default
+from eelgrassrack.document.schema import format_default
 from eelgrassrack.load.tables import PLAN
 
 PAGE = pathlib.Path(__file__).parent.parent.parent / "docs" / "EXPERIMENTS.md"
--- a/test/mailbox/test_socket.py
+++ b/test/mailbox/test_socket.py
@@ -1,4 +1,4 @@
-"""Tests of parcels over real sockets."""
+"""Tests of message batches over real sockets."""
 
 import asyncio
 
@@ -6,21 +6,21 @@
 import pytest
 
 from eelgrassrack.mailbox import socket
-from eelgrassrack.mailbox.codec import decode_parcel, encode_parcel
+from eelgrassrack.mailbox.codec import decode_batch, encode_batch
 from eelgrassrack.mailbox.errors import MailboxError
-from eelgrassrack.mailbox.messages import Cancel, Parcel, Piece
+from eelgrassrack.mailbox.messages import Cancel, MessageBatch, Piece
 from eelgrassrack.mailbox.socket import Mailbox
 
 ANY_PORT = "tcp://127.0.0.1:0"
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
-def make_mailbox(name, parcels):
-    return Mailbox(address=ANY_PORT, incarnation=name, deliver=parcels.append)
+def make_mailbox(name, batches):
+    return Mailbox(address=ANY_PORT, incarnation=name, deliver=batches.append)
 
 
 async def wait_until(condition):
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -40,15 +40,15 @@
         return messages, received, left.address
 
     messages, received, address = asyncio.run(scenario())
-    assert [parcel.messages for parcel in received] == [messages]
+    assert [batch.messages for batch in received] == [messages]
     assert received[0].incarnation == "left"
     assert received[0].address == address
 
 
-def test_garbage_on_the_wire_costs_only_itself():
-    """Another program writes to the port, or a newer release does.
+def test_garbage_does_not_affect_other_messages():
+    """Another program, or a newer release, writes to the port.
 
-    Its bytes are no parcel.  Parcels of true peers still come in.
+    Its bytes aren't a message batch.  Batches of real peers must still arrive.
     """
 
     async def scenario():
@@ -72,7 +72,7 @@
 def test_a_peer_that_returns_is_reached_again():
     """A peer's instance is replaced and listens at the same address again.
 
-    What was sent meanwhile may be lost; what is sent later arrives.
+    Messages sent meanwhile may be lost; later ones must arrive.
     """
 
     async def scenario():
@@ -92,17 +92,18 @@
         left.close()
         right.close()
 
-    asyncio.run(asyncio.wait_for(scenario(), PATIENCE))
+    asyncio.run(asyncio.wait_for(scenario(), TIMEOUT_SECONDS))
 
 
-def test_what_waits_for_a_peer_isnt_kept_until_others_have_forgotten_it(monkeypatch):
-    """A start comes hours late, when its agent has forgotten that it refused it.
+def test_messages_to_an_unreachable_peer_are_dropped(monkeypatch):
+    """A start arrives hours late, when the agent's record of its refusal has expired.
 
-    The way from one entry to an agent is cut for hours, and the library
-    keeps the start. The entry gave it up, a resend through another entry made
-    the agent vow never to start it and was run elsewhere.
+    The connection from an entry to an agent is cut for hours, and the library keeps
+    the start message. The entry has given up the attempt. A resend through another
+    entry made the agent record a tombstone for the attempt, and then ran elsewhere.
+    If the late start ran as well, the request would run twice.
     """
-    monkeypatch.setattr(socket, "UNREACHED_SECONDS", 0.2, raising=False)
+    monkeypatch.setattr(socket, "UNREACHABLE_SECONDS", 0.2, raising=False)
 
     async def scenario():
         received = []
@@ -114,22 +115,22 @@
         left.post(to=address, message=Cancel(attempt="old"))
         for _ in range(10):
             await asyncio.sleep(0.05)
-            left.forget_idle()
+            left.close_idle()
         right = Mailbox(address=address, incarnation="new", deliver=received.append)
         right.open()
         while not received:
             left.post(to=address, message=Cancel(attempt="new"))
             await asyncio.sleep(0.02)
-        left.forget_idle()
+        left.close_idle()
         left.close()
         right.close()
         return received
 
-    received = asyncio.run(asyncio.wait_for(scenario(), PATIENCE))
+    received = asyncio.run(asyncio.wait_for(scenario(), TIMEOUT_SECONDS))
     assert received[0].messages == [Cancel(attempt="new")]
 
 
 def test_another_protocol_is_refused():
-    parcel = Parcel(protocol=99, address="tcp://x", incarnation="i", messages=[])
+    batch = MessageBatch(protocol=99, address="tcp://x", incarnation="i", messages=[])
     with pytest.raises(MailboxError):
-        decode_parcel(encode_parcel(parcel))
+        decode_batch(encode_batch(batch))
--- a/test/promises/world.py
+++ b/test/promises/world.py
@@ -216,7 +216,7 @@
         """Send questions until at least one runs and one waits at each agent."""
 
         def is_full(agent):
-            return agent._attempts.running and len(agent._core.room)
+            return agent._attempts.running and len(agent._core.queue)
 
         for number in range(MAX_FILLING_REQUESTS):
             self.ask(f"filling {number}", entry=number % 2)
