--- a/eelgrassrack/gateway/settings.py
+++ b/eelgrassrack/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway: what one process needs to know to start."""
+"""The settings file of a gateway process."""
 
 import pathlib
 
@@ -7,7 +7,7 @@
 from ..document.checks import Items, Number
 from ..document.schema import Key, SectionKind
 from ..document.tables.texts import NAME
-from ..settings import ADDRESS, URL, LogSettings, read_sections_of
+from ..settings import ADDRESS, URL, LogSettings, read_section_and_log
 
 PORT = Number(low=1, high=65_535, whole=True)
 SECONDS = Number(low=0, high=3_600)
@@ -18,7 +18,7 @@
 
 
 class GatewaySettings(msgspec.Struct, kw_only=True, frozen=True):
-    """Settings of one gateway; times ending in `_ms` are milliseconds."""
+    """Settings of one gateway; fields ending in `_ms` are milliseconds."""
 
     name: str
     domain: str
@@ -85,6 +85,6 @@
 
 
 def read_gateway_settings(path: str | pathlib.Path) -> GatewaySettings:
-    """Return a gateway's settings; raise a `UserError` with every fault."""
-    values, log = read_sections_of(pathlib.Path(path), GATEWAY)
+    """Return a gateway's settings; raises one `UserError` that lists every fault."""
+    values, log = read_section_and_log(pathlib.Path(path), GATEWAY)
     return GatewaySettings(**values, log=log)
--- a/test/promises/test_cold_start.py
+++ b/test/promises/test_cold_start.py
@@ -125,7 +125,7 @@
 @when("a query of death is sent five times while others ask")
 def ask_query_of_death(world):
     for engine in world.engines:
-        engine.poison_text = POISON
+        engine.crash_text = POISON
     for number in range(5):
         sent = world.ask(POISON, entry=number % 2)
         world.ask(f"question {number}", entry=number % 2)
