--- a/test/promises/test_cold_start.py
+++ b/test/promises/test_cold_start.py
@@ -17,7 +17,7 @@
 WARM_UP_SECONDS = 10.0
 COLD_COMPLETIONS = 4
 RESTART_SECONDS = 0.3
-POISON = "poison"
+QUERY_OF_DEATH = "poison"
 NO_POLL_SECONDS = 600.0
 
 
@@ -125,9 +125,9 @@
 @when("a query of death is sent five times while others ask")
 def ask_query_of_death(world):
     for engine in world.engines:
-        engine.crash_text = POISON
+        engine.crash_text = QUERY_OF_DEATH
     for number in range(5):
-        sent = world.ask(POISON, entry=number % 2)
+        sent = world.ask(QUERY_OF_DEATH, entry=number % 2)
         world.ask(f"question {number}", entry=number % 2)
         world.finish(sent)
 
