--- a/bench/gatewaysoak/answers.py
+++ b/bench/gatewaysoak/answers.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from .callers import Told
-from .gates import Gate, Life
+from .gateways import GatewayProcess, Life
 from .lateness import Lateness
 
 # From so long after SIGTERM on a request is late: the balancer has taken the
@@ -25,7 +25,7 @@
         self,
         *,
         told: Iterable[Told],
-        gates: list[Gate],
+        gates: list[GatewayProcess],
         broken: dict[str, float],
         resets: Iterable[float] = (),
         lateness: Lateness | None = None,
--- a/bench/gatewaysoak/gates.py
+++ b/bench/gatewaysoak/gateways.py
@@ -60,7 +60,7 @@
         return any(one.began <= ended and one.ended >= began for one in self.blows)
 
 
-class Gate:
+class GatewayProcess:
     """One gateway process, started again under the same settings."""
 
     def __init__(
--- a/bench/gatewaysoak/play.py
+++ b/bench/gatewaysoak/play.py
@@ -20,9 +20,9 @@
 
 from .answers import Answers
 from .callers import Callers
-from .gates import Gate
+from .draining import DRAIN_SECONDS, SLACK_SECONDS, Leavers, Outage
+from .gateways import GatewayProcess
 from .lateness import Lateness
-from .leavers import DRAIN_SECONDS, SLACK_SECONDS, Leavers, Outage
 from .links import Link, Trouble
 from .steps import Temper, make_script
 
@@ -103,7 +103,7 @@
         self._links: list[Link] = []
         # When links to endpoints were reset.
         self._resets: list[float] = []
-        self._gates: list[Gate] = []
+        self._gates: list[GatewayProcess] = []
         self._leavers = Leavers()
         self._numbers = itertools.count(3)
         self._later: set[asyncio.Task] = set()
@@ -172,7 +172,7 @@
         news_port = find_port()
         grace = self._dice.choice(GRACES_SECONDS)
         self._gates = [
-            Gate(
+            GatewayProcess(
                 number=number,
                 news_port=news_port,
                 store=store.address,
@@ -404,10 +404,10 @@
         return faults
 
 
-async def _stop_all(gates: list[Gate], gap: float, outage: Outage) -> None:
+async def _stop_all(gates: list[GatewayProcess], gap: float, outage: Outage) -> None:
     """Stop gates, each so many seconds after the one before."""
 
-    async def stop(gate: Gate, after: float) -> None:
+    async def stop(gate: GatewayProcess, after: float) -> None:
         await asyncio.sleep(after)
         await gate.stop()
 
--- a/test/bench/test_gatewaysoak.py
+++ b/test/bench/test_gatewaysoak.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from bench.gatewaysoak import leavers
+from bench.gatewaysoak import draining
 from bench.gatewaysoak.answers import Answers
 from bench.gatewaysoak.callers import Told
+from bench.gatewaysoak.draining import DRAIN_SECONDS, SLACK_SECONDS, Leavers
 from bench.gatewaysoak.failed import PRODUCT
-from bench.gatewaysoak.gates import Blow, Life
-from bench.gatewaysoak.leavers import DRAIN_SECONDS, SLACK_SECONDS, Leavers
+from bench.gatewaysoak.gateways import Blow, Life
 from bench.gatewaysoak.play import play
 from eelgrassrack.gateway.daemon import ROTATION_SECONDS
 
@@ -26,7 +26,7 @@
 @pytest.fixture
 def clock(monkeypatch):
     clock = Clock()
-    monkeypatch.setattr(leavers, "time", clock)
+    monkeypatch.setattr(draining, "time", clock)
     return clock
 
 
--- a/test/processes/test_gateway_start.py
+++ b/test/processes/test_gateway_start.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from bench.gatewaysoak.gates import Gate
+from bench.gatewaysoak.gateways import GatewayProcess
 from eelgrassrack.gateway.listener import open_early, open_listener
 from eelgrassrack.standins.directengine import Echo
 from test.gateway.world import connect, make_world, run
@@ -32,7 +32,7 @@
     """Start a gateway process before an endpoint that echoes attempts' ids."""
     async with make_world() as world:
         await world.add_engine("e1", Echo())
-        gate = Gate(
+        gate = GatewayProcess(
             number=1,
             news_port=find_port(),
             store=world.store.url.removeprefix("http://"),
