--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -15,7 +15,7 @@
 
 
 async def run(names: list[str], *, runs: int, markdown: bool) -> None:
-    """Run measurements and print their tables."""
+    """Run the named measurements, each `runs` times, and print their tables."""
     console = Console(width=None if markdown else 140)
     for name in names:
         console.print(f"$ python -m bench --runs {runs} {name}", highlight=False)
@@ -33,12 +33,14 @@
 
 
 def main() -> None:
-    """Read the arguments and run."""
+    """Parse the command line and run the chosen measurements."""
     names = (DECISIONS, *MEASUREMENTS)
     parser = argparse.ArgumentParser(prog="python -m bench", description=__doc__)
-    parser.add_argument("names", nargs="*", help=f"of {', '.join(names)}; default all")
+    parser.add_argument(
+        "names", nargs="*", help=f"from {', '.join(names)}; default all"
+    )
     parser.add_argument("--runs", type=int, default=DEFAULT_RUNS)
-    parser.add_argument("--markdown", action="store_true", help="print for a page")
+    parser.add_argument("--markdown", action="store_true", help="print Markdown")
     options = parser.parse_args()
     unknown = set(options.names) - set(names)
     if unknown:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""The slopes that the capacity page is worked out from.
+"""Measures how costs grow with size, for the capacity page.
 
-Each figure is the median of some runs in processes of their own, at three
-sizes or more.
+Each figure is the median of several runs, each in a process of its own.  Most
+costs are measured at three sizes or more, so that a slope can be fitted.
 """
 
 import asyncio
@@ -18,8 +18,10 @@
 
 RUNS = 3
 IDLE_SECONDS = 8.0
+# Pause after each configuration change, in which the entry follows it.
 FOLLOW_SECONDS = 1.0
 CHANGES = 5
+# Numbers of agents, spread over so many processes.
 AGENTS = (12, 48, 96)
 PROCESSES = 4
 
@@ -46,7 +48,7 @@
 
 
 async def measure_slope(name: str, size: int) -> dict[str, float]:
-    """Return the figures of one slope at a size, from a process of its own."""
+    """Run `bench.slopes` for one measurement and size; return its figures."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -60,7 +62,7 @@
 
 
 async def make_slope_table(name: str, runs: int) -> Table:
-    """Return the figures of a slope by size."""
+    """Return the table of one measurement, with a column for each size."""
     sizes = SIZES[name]
     columns = []
     for size in sizes:
@@ -83,10 +85,10 @@
 
 
 async def measure_idle(agents: int) -> dict[str, float]:
-    """Measure daemons without requests: an entry that works with so many agents.
+    """Measure an entry and its agents while no requests are sent.
 
-    Each agent beats to the entry each second, and the entry to each of 48
-    of them and to none of the others.
+    Each agent sends the entry a heartbeat every second.  The entry sends one to
+    48 of the agents only.
     """
     async with Stage(document=make_document(concurrency=16)) as stage:
         by_process = await stage.start_engines(
@@ -111,7 +113,7 @@
 
 
 async def measure_changes(stage: Stage, entry: Child) -> dict[str, float]:
-    """Measure configuration changes as the entry sees them."""
+    """Measure what following configuration changes costs the entry."""
     calls = stage.table.count_calls(caller="entry-0")
     before = entry.cpu
     began = time.monotonic()
@@ -140,7 +142,7 @@
 
 
 async def watch_cpu(children: dict[str, Child], seconds: float) -> dict[str, float]:
-    """Return the CPU microseconds a second that processes spend."""
+    """Return the CPU microseconds per second that each process spends."""
     before = {name: child.cpu for name, child in children.items()}
     began = time.monotonic()
     await asyncio.sleep(seconds)
@@ -152,7 +154,7 @@
 
 
 async def make_idle_table(runs: int) -> Table:
-    """Return what daemons spend without requests, by the agents known."""
+    """Return the table of idle costs, with a column for each number of agents."""
     columns = [
         find_medians([await measure_idle(agents) for _ in range(runs)])
         for agents in AGENTS
@@ -170,6 +172,6 @@
 
 
 async def run(*, runs: int = RUNS) -> list[Table]:
-    """Return all slopes."""
+    """Return the tables of all measurements."""
     tables = [await make_slope_table(name, runs) for name in SIZES]
     return [*tables, await make_idle_table(runs)]
--- a/bench/clients.py
+++ b/bench/clients.py
@@ -1,4 +1,8 @@
-"""Light callers on asyncio protocols: streams of tokens and short requests."""
+"""HTTP clients with little overhead, for streams of tokens and short requests.
+
+They are bare asyncio protocols, so that the client costs little compared with
+what is measured.
+"""
 
 import asyncio
 import itertools
@@ -8,13 +12,15 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
+# Range and significant digits of the histograms, in microseconds.
 LOWEST_US, HIGHEST_US, DIGITS = 1, 60_000_000, 3
+# Starts a server-sent event; engines send one for each token.
 EVENT = b"data: "
 HEAD_END = b"\r\n\r\n"
 
 
 class Target(msgspec.Struct, kw_only=True, frozen=True):
-    """Where requests go and what they say."""
+    """URL, headers and body of a request."""
 
     url: str
     path: str
@@ -23,13 +29,13 @@
     body: str = ""
 
     @property
-    def place(self) -> tuple[str, int]:
-        """Return host and port."""
+    def address(self) -> tuple[str, int]:
+        """Return the host and port to connect to."""
         parts = urllib.parse.urlsplit(self.url)
         return parts.hostname, parts.port
 
     def build(self, *, close: bool = False) -> bytes:
-        """Return the request's bytes."""
+        """Return the request as bytes on the wire."""
         body = self.body.encode()
         lines = [
             f"{self.method} {self.path} HTTP/1.1",
@@ -48,7 +54,11 @@
 
 
 class Tally:
-    """What all streams of a client saw while it counted."""
+    """Counts of all streams of a client.
+
+    Tokens and the gaps between them, in microseconds, are recorded only while
+    `counting` is set.  `lost` counts closed connections.
+    """
 
     def __init__(self) -> None:
         self.gaps = make_histogram()
@@ -59,7 +69,7 @@
 
 
 class Stream(asyncio.Protocol):
-    """One streamed answer; a token is one event."""
+    """A connection that receives one streamed answer, with one event per token."""
 
     __slots__ = ("_last", "_request", "_tally", "transport")
 
@@ -75,7 +85,7 @@
         transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Count the events and the time since those before."""
+        """Count the events and record the gap since the previous ones."""
         tokens = data.count(EVENT)
         if not tokens:
             return
@@ -89,27 +99,28 @@
         self._last = now
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Count a stream that broke off."""
+        """Count the stream as lost."""
         self._tally.lost += 1
 
 
 async def open_streams(targets: list[Target], *, streams: int, tally: Tally) -> list:
-    """Open so many streams, spread over the targets."""
+    """Open `streams` streams, spread evenly over the targets."""
     loop = asyncio.get_running_loop()
     opened = []
     for target in itertools.islice(itertools.cycle(targets), streams):
         request = target.build()
         _, stream = await loop.create_connection(
-            lambda request=request: Stream(request=request, tally=tally), *target.place
+            lambda request=request: Stream(request=request, tally=tally),
+            *target.address,
         )
         opened.append(stream)
-        # An arrival at a time: a burst of hundreds would measure the burst.
+        # Space out the arrivals: hundreds at once would measure the burst.
         await asyncio.sleep(0.002)
     return opened
 
 
-class Short(asyncio.Protocol):
-    """A kept connection that sends one short request at a time."""
+class ShortRequestConnection(asyncio.Protocol):
+    """A keep-alive connection that sends one short request at a time."""
 
     __slots__ = ("_buffer", "_done", "_left", "transport")
 
@@ -123,15 +134,18 @@
         """Keep the transport."""
         self.transport = transport
 
-    async def ask(self, request: bytes) -> int:
-        """Send a request; return the status once the whole answer is here."""
+    async def exchange(self, request: bytes) -> int:
+        """Send a request; return the status of its complete answer.
+
+        Return 0 if the connection is lost first.
+        """
         self._done = asyncio.get_running_loop().create_future()
         self._buffer = b""
         self.transport.write(request)
         return await self._done
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of the answer, which must have a length."""
+        """Buffer a part of the answer, which must have a Content-Length."""
         self._buffer += data
         head, found, body = self._buffer.partition(HEAD_END)
         if not found:
@@ -145,7 +159,7 @@
             self._done.set_result(int(head.split(None, 2)[1]))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Let the caller know that no answer comes."""
+        """End a pending exchange with status 0."""
         if self._done is not None and not self._done.done():
             self._done.set_result(0)
 
@@ -153,11 +167,14 @@
 async def send_short(
     target: Target, *, rate: float, seconds: float, connections: int
 ) -> tuple[HdrHistogram, int]:
-    """Send requests at a rate; return latencies in microseconds and failures."""
+    """Send requests at a rate, in requests/s; return latencies and failures.
+
+    Latencies are in microseconds.
+    """
     loop = asyncio.get_running_loop()
-    free: asyncio.Queue[Short] = asyncio.Queue()
+    free: asyncio.Queue[ShortRequestConnection] = asyncio.Queue()
     for _ in range(connections):
-        _, short = await loop.create_connection(Short, *target.place)
+        _, short = await loop.create_connection(ShortRequestConnection, *target.address)
         free.put_nowait(short)
     latencies = make_histogram()
     failures = 0
@@ -165,11 +182,11 @@
 
     async def send() -> None:
         nonlocal failures
-        # Time counts from the moment the request is due, so that a stall
-        # shows in all requests that it delayed.
+        # Measured from when the request is due, so that a stall shows in every
+        # request that it delays (no coordinated omission).
         began = time.monotonic()
         short = await free.get()
-        status = await short.ask(request)
+        status = await short.exchange(request)
         free.put_nowait(short)
         latencies.record_value(int((time.monotonic() - began) * 1e6))
         failures += status != 200
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,7 @@
-"""Measure the CPU of each decision with 400 endpoints known.
+"""Measure the CPU time of each decision with 400 known endpoints.
 
-Prints the median and the 99th percentile in microseconds of process time;
-the aim is at most 100 for a decision.  Run it as `python -m bench.decisions`.
+`python -m bench.decisions` prints the median and the 99th percentile in
+microseconds of process time.  The median of a decision should be at most 100.
 """
 
 import functools
@@ -36,7 +36,8 @@
 QUEUED = 2_000
 VERSIONS = 19
 ROUNDS = 5_000
-AIM = 100.0
+# The target for the median of each decision.
+MAX_MEDIAN_US = 100.0
 
 Decision = Callable[[], object]
 
@@ -52,20 +53,20 @@
     return times[ROUNDS // 2], times[ROUNDS * 99 // 100]
 
 
-def make_placement(dice: random.Random) -> dict[str, Decision]:
-    """Return the choice of an endpoint among all and among a subset."""
+def make_placement(rng: random.Random) -> dict[str, Decision]:
+    """Return the choice of an endpoint among all endpoints and among a subset."""
     candidates = [
         Candidate(
             name=f"endpoint-{number}",
             domain=f"d{number % DOMAINS}",
-            running=dice.randrange(16),
+            running=rng.randrange(16),
             window=16,
-            local=dice.randrange(4),
+            local=rng.randrange(4),
         )
         for number in range(ENDPOINTS)
     ]
     placement = Placement(domain="d0")
-    # A failing endpoint makes the choice look at all for ejection.
+    # With a failing endpoint, the choice checks all endpoints for ejection.
     for _ in range(3):
         placement.note_finished(
             endpoint="endpoint-7", succeeded=False, seconds=1, now=0.0
@@ -74,8 +75,8 @@
     def choose(among: list[Candidate], affine: bool) -> None:
         chosen = placement.choose(
             candidates=among,
-            affinity=f"session-{dice.random()}" if affine else None,
-            chances=(dice.random(), dice.random()),
+            affinity=f"session-{rng.random()}" if affine else None,
+            chances=(rng.random(), rng.random()),
             now=1.0,
         )
         placement.note_sent(endpoint=chosen.name)
@@ -92,16 +93,16 @@
     }
 
 
-def make_queue(dice: random.Random) -> dict[str, Decision]:
-    """Return a turn of a full queue: one more waits, one is served."""
+def make_queue(rng: random.Random) -> dict[str, Decision]:
+    """Return a push to and a pop from a queue that is full."""
     queue = FairQueue()
     keys = iter(range(10**9))
 
     def push() -> None:
         waiting = QueuedRequest(
             key=str(next(keys)),
-            organisation=f"o{dice.randrange(ORGANISATIONS)}",
-            tokens=dice.randrange(1, 2_000),
+            organisation=f"o{rng.randrange(ORGANISATIONS)}",
+            tokens=rng.randrange(1, 2_000),
             deadline=1e9,
             arrived=0.0,
         )
@@ -117,8 +118,8 @@
     return {"fair queue, push, displaced and pop": turn}
 
 
-def make_admission(dice: random.Random) -> dict[str, Decision]:
-    """Return the judgement of an arrival under a backlog."""
+def make_admission(rng: random.Random) -> dict[str, Decision]:
+    """Return the admission of a request while there is a backlog."""
     admission = Admission()
     organisation = Organisation(name="o", key_digest="")
     arrival = Arrival(organisation="o", within=60.0, tokens=200)
@@ -130,37 +131,37 @@
             organisation=organisation,
             backlog=backlog,
             now=0.0,
-            chance=dice.random(),
+            chance=rng.random(),
         )
 
     return {"admission": judge}
 
 
-def make_cascade(dice: random.Random) -> dict[str, Decision]:
-    """Return the plan, verdict and lesson of a cascade of three rungs."""
-    chooser = CascadePlanner()
+def make_cascade(rng: random.Random) -> dict[str, Decision]:
+    """Return a cascade of three rungs: plan it, judge and record an answer."""
+    planner = CascadePlanner()
     rungs = tuple(
         Rung(model=f"m{number}", cost=4.0**number, quality=0.7 + number / 10)
         for number in range(3)
     )
 
     def run() -> None:
-        plan = chooser.plan(
+        plan = planner.plan(
             kind="k",
             target=0.8,
             preference=Preference.LATENCY,
             rungs=rungs,
-            chance=dice.random(),
+            chance=rng.random(),
         )
-        rung, rating = rungs[plan.first], dice.random()
-        chooser.judge(rating=rating, target=0.8, rung=rung, last=False, kind="k")
-        chooser.note(kind="k", rung_model=rung.model, rating=rating, now=0.0)
+        rung, rating = rungs[plan.first], rng.random()
+        planner.judge(rating=rating, target=0.8, rung=rung, last=False, kind="k")
+        planner.note(kind="k", rung_model=rung.model, rating=rating, now=0.0)
 
     return {"cascade, plan, judge and note": run}
 
 
-def make_rollout(dice: random.Random) -> dict[str, Decision]:
-    """Return the choice of a version and the lesson, with many versions."""
+def make_rollout(rng: random.Random) -> dict[str, Decision]:
+    """Return the choice of a version and the recording of a sample."""
     health = RolloutHealth()
     plan = tuple(
         PlannedVersion(name=f"m/{number}", weight=1.0, active=True)
@@ -172,9 +173,9 @@
 
     def note() -> None:
         sample = Sample(
-            version=f"m/{dice.randrange(VERSIONS)}",
+            version=f"m/{rng.randrange(VERSIONS)}",
             failed=False,
-            rating=dice.random(),
+            rating=rng.random(),
             seconds=1.0,
         )
         health.note(sample=sample, now=0.0)
@@ -182,8 +183,8 @@
     return {"roll-out, choose": choose, "roll-out, note": note}
 
 
-def make_small() -> dict[str, Decision]:
-    """Return the decisions that cost little."""
+def make_cheap() -> dict[str, Decision]:
+    """Return decisions that are cheap."""
     budget = RetryBudget(ratio=0.1, floor=10.0)
     quarantine = Quarantine()
     quarantine.note_crash(endpoint="e", fingerprints=("x",), alone=False, now=0.0)
@@ -208,20 +209,22 @@
 
 
 def main() -> None:
-    """Print the table."""
-    dice = random.Random(1)
+    """Measure all decisions and print the table."""
+    rng = random.Random(1)
     decisions = (
-        make_placement(dice)
-        | make_queue(dice)
-        | make_admission(dice)
-        | make_cascade(dice)
-        | make_rollout(dice)
-        | make_small()
+        make_placement(rng)
+        | make_queue(rng)
+        | make_admission(rng)
+        | make_cascade(rng)
+        | make_rollout(rng)
+        | make_cheap()
+    )
+    table = Table(
+        "decision", "median us", "p99 us", f"median within {MAX_MEDIAN_US:.0f}"
     )
-    table = Table("decision", "median us", "p99 us", f"median within {AIM:.0f}")
     for name, decision in decisions.items():
         median, high = measure(decision)
-        within = "yes" if median <= AIM else "no"
+        within = "yes" if median <= MAX_MEDIAN_US else "no"
         table.add_row(name, f"{median:.1f}", f"{high:.1f}", within)
     Console().print(table)
 
--- a/bench/documents.py
+++ b/bench/documents.py
@@ -1,8 +1,9 @@
-"""Documents of any size, for measurements."""
+"""Generates operators' documents of any size, for measurements."""
 
 import hashlib
 import itertools
 
+# Prefix of the API keys.
 KEY = "bench-key-"
 MODEL = "m"
 VERSION = "m/1"
@@ -12,7 +13,7 @@
 
 
 def make_key(number: int) -> str:
-    """Return the API key of an organisation."""
+    """Return the API key of the organisation `o{number}`."""
     return f"{KEY}{number}"
 
 
@@ -23,7 +24,7 @@
     domains: int = 1,
     concurrency: int = 1000,
 ) -> str:
-    """Return a document whose limits never refuse a measurement's load."""
+    """Return a document whose limits are too high to refuse a benchmark's load."""
     names = [MODEL, *(f"m{number}" for number in range(1, models))]
     lines = itertools.chain(
         *(_make_organisation(number, names) for number in range(organisations)),
--- a/bench/gatewayslopes.py
+++ b/bench/gatewayslopes.py
@@ -1,7 +1,8 @@
-"""Slopes of the gateway's own costs: `python -m bench.gatewayslopes`.
+"""Measure what the gateway's own work costs: `python -m bench.gatewayslopes`.
 
-Prints microseconds of processor time for a choice of engines by their number
-and for a peer's news, and bytes for an endpoint and for news.
+Prints the CPU microseconds of choosing among several numbers of engines and of
+encoding and decoding a peer update, the bytes of an update and of an endpoint's
+state, and the update traffic of fleets of several sizes.
 """
 
 import asyncio
@@ -24,11 +25,13 @@
     UpdateExchange,
 )
 
+# Numbers of engines to choose among.
 SIZES = (9, 29, 580)
 
-# Gateways, and failure domains among which they are spread evenly.
+# Gateways, and the failure domains over which they are spread evenly.
 FLEETS = ((4, 3), (21, 3), (68, 5), (300, 20))
-NEWS_ROUNDS = 400
+UPDATE_ROUNDS = 400
+# IPv4 and UDP headers.
 DATAGRAM_HEADER_BYTES = 28
 ROUNDS = 300
 MICROSECONDS = 1e6
@@ -36,19 +39,19 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Measure everything and print the results."""
     for size in SIZES:
         took = measure(lambda size=size: _choose(size))
         print(f"choose among {size} engines: {took:.0f} us")
-    news = _make_update()
-    data = msgspec.msgpack.encode(news)
+    update = _make_update()
+    data = msgspec.msgpack.encode(update)
     print(f"news with 8 flights: {len(data)} bytes")
-    print(f"encode news: {measure(lambda: msgspec.msgpack.encode(news)):.1f} us")
+    print(f"encode news: {measure(lambda: msgspec.msgpack.encode(update)):.1f} us")
     took = measure(lambda: msgspec.msgpack.decode(data, type=PeerUpdate))
     print(f"decode news: {took:.1f} us")
-    print(f"an endpoint: {_weigh_endpoint():.0f} bytes")
+    print(f"an endpoint: {_measure_endpoint_bytes():.0f} bytes")
     for gateways, domains in FLEETS:
-        near, far = asyncio.run(_count_news(gateways, domains))
+        near, far = asyncio.run(_count_update_bytes(gateways, domains))
         print(
             f"news of one of {gateways} gateways in {domains} domains, a second: "
             f"{near:.1f} KB within, {far:.1f} KB to others"
@@ -56,7 +59,7 @@
 
 
 def measure(work: Callable[[], object]) -> float:
-    """Return the microseconds of processor time of one round."""
+    """Return the CPU microseconds of one call, averaged over `ROUNDS` calls."""
     began = time.process_time()
     for _ in range(ROUNDS):
         work()
@@ -100,8 +103,11 @@
     )
 
 
-class Line:
-    """Adds up datagrams by the failure domain that they go to."""
+class DatagramCounter:
+    """A datagram transport that only counts what is sent, headers included.
+
+    `near` and `far` are the bytes sent within the own failure domain and to others.
+    """
 
     def __init__(self) -> None:
         self.datagrams = 0
@@ -109,7 +115,7 @@
         self.far = 0
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        """Count a datagram; the host of a near peer begins with `near`."""
+        """Count a datagram; hosts in the own failure domain begin with `near`."""
         self.datagrams += 1
         size = len(data) + DATAGRAM_HEADER_BYTES
         if address[0].startswith("near"):
@@ -118,33 +124,33 @@
             self.far += size
 
 
-async def _count_news(gateways: int, domains: int) -> tuple[float, float]:
-    """Return the kilobytes a second that one gateway sends near and far."""
-    line = Line()
+async def _count_update_bytes(gateways: int, domains: int) -> tuple[float, float]:
+    """Return the KB/s that a gateway sends within its domain and to others."""
+    counter = DatagramCounter()
     exchange = UpdateExchange(
         name="me",
         domain="near",
         address=("me", 7),
         seeds=(),
         make_update=lambda **_: _make_update(),
-        receive_update=lambda news: None,
+        receive_update=lambda update: None,
     )
-    exchange.connection_made(line)
+    exchange.connection_made(counter)
     peers = gateways - 1
     near = max(round(gateways / domains) - 1, 0)
     for number in range(peers):
         domain = "near" if number < near else "far"
         name = f"{domain}{number}"
-        news = PeerUpdate(name, "life", 7, 1, 1, True, domain=domain)
-        exchange.datagram_received(msgspec.msgpack.encode(news), (name, 7))
-    for _ in range(NEWS_ROUNDS):
+        update = PeerUpdate(name, "life", 7, 1, 1, True, domain=domain)
+        exchange.datagram_received(msgspec.msgpack.encode(update), (name, 7))
+    for _ in range(UPDATE_ROUNDS):
         exchange.send()
-    told = line.datagrams / NEWS_ROUNDS
-    seconds = NEWS_ROUNDS * UPDATE_SECONDS * max(1.0, told / FULL_RATE_PEERS)
-    return line.near / seconds / 1_000, line.far / seconds / 1_000
+    datagrams = counter.datagrams / UPDATE_ROUNDS
+    seconds = UPDATE_ROUNDS * UPDATE_SECONDS * max(1.0, datagrams / FULL_RATE_PEERS)
+    return counter.near / seconds / 1_000, counter.far / seconds / 1_000
 
 
-def _weigh_endpoint() -> float:
+def _measure_endpoint_bytes() -> float:
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     kept = [
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,4 +1,4 @@
-"""Resident memory of the daemons, idle and under streams."""
+"""Measures the resident memory of entries and agents, idle and under streams."""
 
 import statistics
 
@@ -13,14 +13,15 @@
 ENTRY_STREAMS = 570
 AGENT_STREAMS = (20, 100)
 ENGINE_PROCESSES = 4
-ENGINES_A_PROCESS = 12
+ENGINES_PER_PROCESS = 12
 SETTLE_SECONDS = 2.0
 STREAM_SECONDS = 10.0
-ENTRY_AIM, AGENT_AIM = 128, 40
+# Targets, printed beside the results.
+MAX_ENTRY_MB, MAX_AGENT_MB = 128, 40
 
 
 async def load_and_read(stage: Stage, *, url: str, streams: int, child: Child) -> float:
-    """Return a process's megabytes at the end of a while under streams."""
+    """Return the resident MB of `child` after `STREAM_SECONDS` under streams."""
     client = await stage.start(
         "streams",
         targets=[msgspec.to_builtins(target) for target in make_streams([url])],
@@ -28,18 +29,18 @@
         settle=SETTLE_SECONDS,
         seconds=STREAM_SECONDS,
     )
-    await client.hear()
-    await client.hear()
+    await client.read_object()
+    await client.read_object()
     found = child.rss
     await stage.end(client)
     return found
 
 
 async def measure_entry() -> dict[str, float]:
-    """Return an entry's megabytes, idle and under streams."""
+    """Return the resident MB of an entry, idle and under streams."""
     async with Stage(document=make_document()) as stage:
         by_process = await stage.start_engines(
-            processes=ENGINE_PROCESSES, each=ENGINES_A_PROCESS
+            processes=ENGINE_PROCESSES, each=ENGINES_PER_PROCESS
         )
         for urls in by_process:
             await stage.start_agents(urls)
@@ -52,7 +53,7 @@
 
 
 async def measure_agent(streams: int) -> dict[str, float]:
-    """Return an agent's megabytes, idle and under streams."""
+    """Return the resident MB of an agent, idle and under streams."""
     async with Stage(document=make_document()) as stage:
         by_process = await stage.start_engines(processes=1, each=1)
         agent = await stage.start_agents(flatten(by_process))
@@ -76,7 +77,7 @@
         [
             name,
             f"{statistics.median(values):.1f}",
-            str(ENTRY_AIM if name.startswith("entry") else AGENT_AIM),
+            str(MAX_ENTRY_MB if name.startswith("entry") else MAX_AGENT_MB),
         ]
         for name, values in found.items()
     ]
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""CPU of a relayed token and of a short request, and the latency added."""
+"""Measures CPU time per relayed token and short request, and the added latency."""
 
 import argparse
 import asyncio
@@ -17,21 +17,26 @@
 STREAMS = (100, 570)
 RUNS = 3
 
-# At the target 570 streams of an entry share 48 endpoints.
+# At the target size, the 570 streams of an entry are spread over 48 endpoints.
 ENGINE_PROCESSES = 4
-ENGINES_A_PROCESS = 12
+ENGINES_PER_PROCESS = 12
 
-# An entry of the target size hears this many agents, by a process.  The more
-# of them share its streams, the fewer tokens a parcel holds.
-HEARD_A_PROCESS = 31
+# Agents in each process, so that an entry gets heartbeats from as many agents as at
+# the target size.  The more agents share its streams, the fewer tokens arrive in a
+# message batch.
+AGENTS_PER_PROCESS = 31
 
-# Curl's client in an agent has this many connections less a few.
+# The largest is a few below the connection limit of an agent's curl client.
 AGENT_STREAMS = (20, 100, 500)
 SHORT_RATE = 100.0
 
 
-class Measured(msgspec.Struct, kw_only=True, frozen=True):
-    """One window: CPU microseconds a token, tokens a second, gaps in ms."""
+class StreamResult(msgspec.Struct, kw_only=True, frozen=True):
+    """Streams of one measured window.
+
+    `cpu` is in microseconds per token, `rate` in tokens/s, `core` in CPU cores.  The
+    percentiles are of the gaps between tokens, in milliseconds.
+    """
 
     cpu: float
     rate: float
@@ -42,8 +47,11 @@
     lost: int
 
 
-class Shorts(msgspec.Struct, kw_only=True, frozen=True):
-    """Short requests: CPU of entry and agent in us, added latency in ms."""
+class ShortResult(msgspec.Struct, kw_only=True, frozen=True):
+    """Short requests: CPU microseconds per request, and latencies in milliseconds.
+
+    The `direct` latencies are without the entry and the agent.
+    """
 
     entry_cpu: float
     agent_cpu: float
@@ -62,8 +70,11 @@
     child: Child | None,
     profile: float = 0.0,
     seconds: float = WINDOW_SECONDS,
-) -> Measured:
-    """Relay streams and read what a process spent on them."""
+) -> StreamResult:
+    """Run streams for `seconds` and measure the CPU time that `child` uses.
+
+    With `profile`, first print a profile of `child` over so many seconds.
+    """
     client = await stage.start(
         "streams",
         targets=[msgspec.to_builtins(target) for target in targets],
@@ -71,20 +82,20 @@
         settle=SETTLE_SECONDS,
         seconds=seconds,
     )
-    begun = await client.hear()
+    begun = await client.read_object()
     if begun["begun"] < streams:
         print(f"only {begun['begun']} of {streams} streams began")
     if profile and child:
-        await child.tell(f"profile {profile}")
-        print((await child.hear())["profile"])
+        await child.send_line(f"profile {profile}")
+        print((await child.read_object())["profile"])
     before = child.cpu if child else 0.0
     began = asyncio.get_running_loop().time()
-    found = await client.hear()
+    found = await client.read_object()
     took = asyncio.get_running_loop().time() - began
     spent = child.cpu - before if child else 0.0
     await stage.end(client)
     await asyncio.sleep(1.0)
-    return Measured(
+    return StreamResult(
         cpu=spent / max(found["tokens"], 1) * 1e6,
         rate=found["tokens"] / took,
         core=spent / took,
@@ -95,11 +106,11 @@
     )
 
 
-async def measure_relays(streams: int) -> dict[str, Measured]:
-    """Measure the engines alone, both bare relays and the entry, in one run."""
+async def measure_relays(streams: int) -> dict[str, StreamResult]:
+    """Measure direct streams, both bare relays and the entry in one run."""
     async with Stage(document=make_document()) as stage:
         by_process = await stage.start_engines(
-            processes=ENGINE_PROCESSES, each=ENGINES_A_PROCESS
+            processes=ENGINE_PROCESSES, each=ENGINES_PER_PROCESS
         )
         urls = flatten(by_process)
         found = {}
@@ -129,9 +140,9 @@
     *,
     profile: float = 0.0,
     seconds: float = WINDOW_SECONDS,
-    each: int = ENGINES_A_PROCESS,
-) -> Measured:
-    """Measure the entry alone."""
+    each: int = ENGINES_PER_PROCESS,
+) -> StreamResult:
+    """Measure the streams and the CPU time of an entry."""
     async with Stage(document=make_document()) as stage:
         by_process = await stage.start_engines(processes=ENGINE_PROCESSES, each=each)
         for urls in by_process:
@@ -149,8 +160,8 @@
 
 async def measure_agent(
     streams: int, *, profile: float = 0.0, seconds: float = WINDOW_SECONDS
-) -> Measured:
-    """Measure one agent beside one engine, under all streams of an entry."""
+) -> StreamResult:
+    """Measure the CPU time of one agent that relays all streams of an entry."""
     async with Stage(document=make_document()) as stage:
         ((url,),) = await stage.start_engines(processes=1, each=1)
         agent = await stage.start_agents([url])
@@ -165,8 +176,11 @@
         )
 
 
-async def measure_shorts(kind: str) -> Shorts:
-    """Measure lookups or chats of one token against the endpoint itself."""
+async def measure_shorts(kind: str) -> ShortResult:
+    """Measure short requests through the entry, and directly to the endpoint.
+
+    `kind` is "lookup" for a plain service, else chats of one token are sent.
+    """
     async with Stage(document=make_document()) as stage:
         if kind == "lookup":
             endpoint = await stage.start("services")
@@ -183,12 +197,12 @@
             rate=SHORT_RATE,
             seconds=WINDOW_SECONDS,
         )
-        await client.hear()
+        await client.read_object()
         before = entry.cpu, agent.cpu
-        found = (await client.hear())["results"]
+        found = (await client.read_object())["results"]
         after = entry.cpu, agent.cpu
     direct, through = found["direct"], found["entry"]
-    return Shorts(
+    return ShortResult(
         entry_cpu=(after[0] - before[0]) / through["count"] * 1e6,
         agent_cpu=(after[1] - before[1]) / through["count"] * 1e6,
         direct_p50=direct["p50"],
@@ -217,14 +231,14 @@
     }
 
 
-def find_median(runs: list[Measured]) -> Measured:
-    """Return the run with the median CPU, or gap where no CPU was read."""
+def find_median(runs: list[StreamResult]) -> StreamResult:
+    """Return the run with the median CPU, or the median gap if there is no CPU."""
     ranked = sorted(runs, key=lambda run: (run.cpu, run.p95))
     return ranked[len(ranked) // 2]
 
 
-def make_row(name: str, streams: int, runs: list[Measured]) -> list[str]:
-    """Return a row: the median run, with the lowest and highest CPU."""
+def make_row(name: str, streams: int, runs: list[StreamResult]) -> list[str]:
+    """Return the row of the median run, with the lowest and highest CPU."""
     median = find_median(runs)
     low, high = min(run.cpu for run in runs), max(run.cpu for run in runs)
     return [
@@ -240,8 +254,8 @@
     ]
 
 
-def make_ratios(streams: int, runs: list[dict[str, Measured]]) -> list[str]:
-    """Return a row: the entry's CPU a token by that of the relay of bytes."""
+def make_ratios(streams: int, runs: list[dict[str, StreamResult]]) -> list[str]:
+    """Return the row of ratios of the entry's CPU to that of the byte relay."""
     ratios = [run["entry"].cpu / run["byte-relay"].cpu for run in runs]
     added = [run["entry"].p95 - run["engines alone"].p95 for run in runs]
     return [
@@ -276,11 +290,11 @@
             for name in all_found[0]
         ]
         ratios.append(make_ratios(streams, all_found))
-    heard = HEARD_A_PROCESS * ENGINE_PROCESSES
+    agent_count = AGENTS_PER_PROCESS * ENGINE_PROCESSES
     found = [
-        await measure_entry(STREAMS[-1], each=HEARD_A_PROCESS) for _ in range(runs)
+        await measure_entry(STREAMS[-1], each=AGENTS_PER_PROCESS) for _ in range(runs)
     ]
-    rows.append(make_row(f"entry, {heard} agents", STREAMS[-1], found))
+    rows.append(make_row(f"entry, {agent_count} agents", STREAMS[-1], found))
     for streams in AGENT_STREAMS:
         found = [await measure_agent(streams) for _ in range(runs)]
         rows.append(make_row("one agent", streams, found))
@@ -314,7 +328,7 @@
     return Table(title=title, headings=headings, rows=rows)
 
 
-def _describe_shorts(found: list[Shorts]) -> list[str]:
+def _describe_shorts(found: list[ShortResult]) -> list[str]:
     def middle(*values: float) -> float:
         return statistics.median(values)
 
@@ -330,7 +344,7 @@
 
 
 async def run_trial(options: argparse.Namespace) -> None:
-    """Measure one process once, with a profile if one is asked for."""
+    """Measure one process once, and profile it if the options say so."""
     measure = measure_agent if options.trial == "agent" else measure_entry
     found = await measure(
         options.streams, profile=options.profile, seconds=options.seconds
--- a/bench/relays.py
+++ b/bench/relays.py
@@ -1,8 +1,8 @@
-"""Two bare relays that check nothing, to compare the entry with.
+"""Two bare relays without any checks, as a baseline for the entry.
 
-Both pass a streamed answer from one of several engines to a caller: one as
-a tornado handler with the curl client, one as asyncio protocols that pass
-bytes through.
+Both relay a streamed answer from one of several engines to a caller.  One is a
+tornado handler with the curl client, the other forwards bytes between two asyncio
+protocols.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 from eelgrassrack.standins.server import StandinServer
 
 LOOPBACK = "127.0.0.1"
-LONGEST_SECONDS = 120.0
+MAX_SECONDS = 120.0
 
 
 class CurlRelay(web.RequestHandler):
-    """Pass a streamed answer on, piece by piece, by the curl client."""
+    """Relays a streamed answer chunk by chunk with the curl client."""
 
     def initialize(self, *, client: object, engines: itertools.cycle) -> None:
-        """Take the client and the engines' URLs."""
+        """Set the HTTP client and the engines' URLs."""
         self._client = client
         self._engines = engines
 
@@ -33,7 +33,7 @@
             method="POST",
             body=self.request.body,
             headers={"Content-Type": "application/json"},
-            request_timeout=LONGEST_SECONDS,
+            request_timeout=MAX_SECONDS,
             streaming_callback=self._pass_on,
         )
         await self._client.fetch(request, raise_error=False)
@@ -58,7 +58,7 @@
 
 
 class Upstream(asyncio.Protocol):
-    """The engine's side: every byte goes to the caller's transport."""
+    """The engine's side: forwards every byte to the caller's transport."""
 
     __slots__ = ("_caller",)
 
@@ -66,16 +66,16 @@
         self._caller = caller
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on."""
+        """Forward bytes to the caller."""
         self._caller.write(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the caller's side too."""
+        """Close the caller's connection too."""
         self._caller.close()
 
 
 class Downstream(asyncio.Protocol):
-    """The caller's side: open a connection to an engine, pass bytes on."""
+    """The caller's side: connects to an engine and forwards every byte to it."""
 
     __slots__ = ("_early", "_engines", "_task", "_transport", "_upstream")
 
@@ -98,25 +98,25 @@
         self._upstream.writelines(self._early)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on, or keep them until the engine is connected."""
+        """Forward bytes, or buffer them until the engine is connected."""
         if self._upstream is None:
             self._early.append(data)
             return
         self._upstream.write(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the engine's side too."""
+        """Close the engine's connection too."""
         if self._upstream is not None:
             self._upstream.close()
 
 
 async def start_byte_relay(engines: list[str]) -> str:
-    """Start the relay of bytes; return its URL."""
-    places = itertools.cycle(
+    """Start the byte relay; return its URL."""
+    addresses = itertools.cycle(
         [(host, int(port)) for host, _, port in map(_split, engines)]
     )
     server = await asyncio.get_running_loop().create_server(
-        lambda: Downstream(engines=places), LOOPBACK, 0, backlog=1024
+        lambda: Downstream(engines=addresses), LOOPBACK, 0, backlog=1024
     )
     return f"http://{LOOPBACK}:{server.sockets[0].getsockname()[1]}"
 
--- a/bench/roles.py
+++ b/bench/roles.py
@@ -1,10 +1,10 @@
-"""What one process of a measurement runs: `python -m bench.roles ROLE JSON`.
+"""Runs one role of a measurement: `python -m bench.roles ROLE JSON`.
 
-A role prints one JSON object when it is ready, obeys the lines on its
-standard input and ends at the input's end or after `LONGEST_SECONDS`.
+A role prints one JSON object when it is ready and carries out commands from its
+standard input.  It ends with the input or after `MAX_SECONDS`.
 
-Memory is measured too, so each role imports only what it runs; the daemons
-also load the command line, as they do when they are started by it.
+Each role imports only what it runs, because memory is measured too.  The daemons
+also import the command line interface, as they do when it starts them.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 import logbook
 import msgspec
 
-LONGEST_SECONDS = 150.0
+MAX_SECONDS = 150.0
 ANY_LISTEN = "127.0.0.1:0"
 ANY_MAILBOX = f"tcp://{ANY_LISTEN}"
 PROFILE_LINES = 45
 
 
-def say(**values: object) -> None:
-    """Print one object."""
+def print_object(**values: object) -> None:
+    """Print one JSON object as a line."""
     print(msgspec.json.encode(values).decode(), flush=True)
 
 
@@ -37,15 +37,15 @@
     return reader
 
 
-async def wait_end(reader: asyncio.StreamReader) -> None:
-    """Wait for the end of the input; `profile SECONDS` prints a profile."""
+async def wait_for_input_end(reader: asyncio.StreamReader) -> None:
+    """Wait for the end of the input; run a profile for each `profile SECONDS` line."""
     while line := (await reader.readline()).decode().split():
         if line[0] == "profile":
             await run_profile(float(line[1]))
 
 
 async def run_profile(seconds: float) -> None:
-    """Profile this process for a while and print what cost most."""
+    """Profile this process for some seconds and print the most expensive functions."""
     import cProfile
     import pstats
 
@@ -55,7 +55,7 @@
     profile.disable()
     text = io.StringIO()
     pstats.Stats(profile, stream=text).sort_stats("tottime").print_stats(PROFILE_LINES)
-    say(profile=text.getvalue())
+    print_object(profile=text.getvalue())
 
 
 async def run_engines(
@@ -72,10 +72,10 @@
     ]
     for number, engine in enumerate(engines):
         await engine.start()
-        # Engines of separate instances don't step at the same moment.
+        # Engines on separate instances don't send their tokens at the same moment.
         await asyncio.sleep(number * 0.001)
-    say(urls=[engine.url for engine in engines])
-    await wait_end(reader)
+    print_object(urls=[engine.url for engine in engines])
+    await wait_for_input_end(reader)
 
 
 async def run_services(reader: asyncio.StreamReader) -> None:
@@ -86,14 +86,14 @@
 
     service = PlainService(name=SERVICE)
     await service.start()
-    say(urls=[service.url])
-    await wait_end(reader)
+    print_object(urls=[service.url])
+    await wait_for_input_end(reader)
 
 
 async def run_agents(
     reader: asyncio.StreamReader, *, urls: list[str], pool: str, instances_url: str
 ) -> None:
-    """Run an agent beside each of these endpoints."""
+    """Run an agent for each of these endpoints."""
     import eelgrassrack.ui  # noqa: F401
     from eelgrassrack.agent.agent import Agent
     from eelgrassrack.invariants import Invariants
@@ -117,8 +117,8 @@
         )
         await agent.start()
         mailboxes[name] = agent.address
-    say(mailboxes=mailboxes)
-    await wait_end(reader)
+    print_object(mailboxes=mailboxes)
+    await wait_for_input_end(reader)
 
 
 async def run_entry(
@@ -146,8 +146,8 @@
         invariants=Invariants(strict=False),
     )
     await entry.start()
-    say(url=entry.url, mailbox=entry.address)
-    await wait_end(reader)
+    print_object(url=entry.url, mailbox=entry.address)
+    await wait_for_input_end(reader)
 
 
 async def run_curl_relay(reader: asyncio.StreamReader, *, urls: list[str]) -> None:
@@ -155,16 +155,16 @@
     from .relays import start_curl_relay
 
     server = await start_curl_relay(urls)
-    say(url=server.url)
-    await wait_end(reader)
+    print_object(url=server.url)
+    await wait_for_input_end(reader)
 
 
 async def run_byte_relay(reader: asyncio.StreamReader, *, urls: list[str]) -> None:
-    """Run the bare relay of bytes."""
+    """Run the bare byte relay."""
     from .relays import start_byte_relay
 
-    say(url=await start_byte_relay(urls))
-    await wait_end(reader)
+    print_object(url=await start_byte_relay(urls))
+    await wait_for_input_end(reader)
 
 
 async def run_streams(
@@ -175,10 +175,13 @@
     settle: float,
     seconds: float,
 ) -> None:
-    """Open streams, say when counting begins and ends, and what was counted."""
+    """Open streams, count tokens for some seconds and print the result.
+
+    Prints an object when counting begins and one when it ends.
+    """
     from .clients import Tally, Target, open_streams
 
-    say()
+    print_object()
     tally = Tally()
     opened = await open_streams(
         msgspec.convert(targets, list[Target]), streams=streams, tally=tally
@@ -187,11 +190,11 @@
     gc.collect()
     gc.freeze()
     tally.counting = True
-    say(begun=tally.begun)
+    print_object(begun=tally.begun)
     await asyncio.sleep(seconds)
     tally.counting = False
     find = tally.gaps.get_value_at_percentile
-    say(
+    print_object(
         tokens=tally.tokens,
         lost=tally.lost,
         p50=find(50) / 1000,
@@ -210,22 +213,22 @@
     rate: float,
     seconds: float,
 ) -> None:
-    """Send short requests to all targets at once; print latencies by target."""
+    """Send short requests to all targets in parallel; print latencies by target."""
     from .clients import Target, send_short
 
-    say()
+    print_object()
     known = {name: msgspec.convert(each, Target) for name, each in targets.items()}
     for target in known.values():
         await send_short(target, rate=rate, seconds=1.0, connections=32)
     gc.collect()
     gc.freeze()
-    say(begun=True)
+    print_object(begun=True)
     runs = (
         send_short(target, rate=rate, seconds=seconds, connections=32)
         for target in known.values()
     )
     found = await asyncio.gather(*runs)
-    say(
+    print_object(
         results={
             name: {
                 "failures": failures,
@@ -256,7 +259,7 @@
     reader = await read_lines()
     job = ROLES[role](reader, **msgspec.json.decode(options))
     with contextlib.suppress(TimeoutError):
-        await asyncio.wait_for(job, LONGEST_SECONDS)
+        await asyncio.wait_for(job, MAX_SECONDS)
 
 
 if __name__ == "__main__":
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Single costs at a given size, each in a process of its own.
+"""Measures one cost at a given size, in this process.
 
-`python -m bench.slopes NAME SIZE` prints one JSON object of figures.  CPU
-is process time in microseconds, memory is resident memory.
+`python -m bench.slopes NAME SIZE` prints the figures as one JSON object.  CPU is
+process time in microseconds, memory is resident memory in bytes.
 """
 
 import asyncio
@@ -39,15 +39,15 @@
 MODELS = 19
 ENTRIES = 380
 
-# Endpoints whose agents an entry of the target size hears: those that it is
-# a parent of and those that it works with.
-HEARD = 136
+# Endpoints whose agents send heartbeats to an entry of the target size: those that it
+# is a parent of and those that it works with.
+REPORTING_ENDPOINTS = 136
 ROUNDS = 300
 REVISIONS = 20
 
 
 def time_call(call: Callable[[], object], *, rounds: int = ROUNDS) -> float:
-    """Return the CPU microseconds of a call, the median of single calls."""
+    """Return the median CPU microseconds of a single call."""
     times = []
     for _ in range(rounds):
         start = time.process_time_ns()
@@ -63,7 +63,7 @@
 
 
 def make_endpoints(count: int) -> list[Instance]:
-    """Return endpoints over all domains, in as many pools as models."""
+    """Return endpoints spread over all domains, with one pool for each model."""
     pools = [POOL, *(f"pool-m{number}" for number in range(1, MODELS))]
     return [
         Instance(
@@ -78,7 +78,7 @@
 
 
 def make_entries() -> list[Instance]:
-    """Return the entries of the target size."""
+    """Return as many entries as the target size has."""
     return [
         Instance(
             name=f"entry-{number:03}",
@@ -107,15 +107,18 @@
 
 
 def wrap(sender: str, incarnation: str, message: AnyMessage) -> bytes:
-    """Return a parcel of one message as bytes."""
+    """Encode a batch of one message."""
     parcel = Parcel(address=sender, incarnation=incarnation, messages=[message])
     return encode_parcel(parcel)
 
 
-class Place:
-    """A directory and peers that post to nobody."""
+class EntryFixture:
+    """The directory and peers of an entry, whose messages are only counted.
 
-    def __init__(self, *, endpoints: int, heard: int) -> None:
+    `endpoints` endpoints are listed, and `reporting` of them have sent a heartbeat.
+    """
+
+    def __init__(self, *, endpoints: int, reporting: int) -> None:
         self.announced = 0
         self.posts = 0
         self.bytes = 0
@@ -125,8 +128,8 @@
             name="entry-000", domain="d0", directory=self.directory, post=self._post
         )
         self.directory.take_listing(self.instances)
-        dice = random.Random(1)
-        for instance in dice.sample(self.instances, min(heard, endpoints)):
+        rng = random.Random(1)
+        for instance in rng.sample(self.instances, min(reporting, endpoints)):
             self.directory.take_load(
                 make_load(instance), instance.mailbox, f"{instance.name}.1", 0.0
             )
@@ -137,18 +140,18 @@
 
 
 def measure_directory(size: int) -> dict[str, float]:
-    """Measure what an entry does with so many listed endpoints."""
-    place = Place(endpoints=size, heard=HEARD)
+    """Measure an entry's work with `size` listed endpoints."""
+    fixture = EntryFixture(endpoints=size, reporting=REPORTING_ENDPOINTS)
     snapshot = parse_document(
         text=make_document(models=MODELS, domains=DOMAINS), revision=1
     )
-    directory, peers = place.directory, place.peers
+    directory, peers = fixture.directory, fixture.peers
     presence = peers.build_presence(revision=1, ledger="entry-000.1.1")
     find = functools.partial(
         directory.find_serving, snapshot=snapshot, version=VERSION, service="", now=0.1
     )
-    load = make_load(place.instances[0])
-    data = wrap(place.instances[0].mailbox, "endpoint-00000.1", load)
+    load = make_load(fixture.instances[0])
+    data = wrap(fixture.instances[0].mailbox, "endpoint-00000.1", load)
 
     def take() -> None:
         parcel = decode_parcel(data)
@@ -168,7 +171,7 @@
 
 
 def measure_placement(size: int) -> dict[str, float]:
-    """Measure one request's choice among so many endpoints of its pool."""
+    """Measure the choice of an endpoint among `size` endpoints of one pool."""
     directory = Directory(on_agent_lost=lambda agent, reason: None)
     instances = [
         msgspec.structs.replace(instance, pool=POOL)
@@ -182,7 +185,7 @@
         text=make_document(models=MODELS, domains=DOMAINS), revision=1
     )
     placement = Placement(domain="d0")
-    dice = random.Random(1)
+    rng = random.Random(1)
 
     def choose() -> None:
         found = directory.find_serving(
@@ -190,8 +193,8 @@
         )
         chosen = placement.choose(
             candidates=[_describe(endpoint) for endpoint in found],
-            affinity=f"session-{dice.random()}",
-            chances=(dice.random(), dice.random()),
+            affinity=f"session-{rng.random()}",
+            chances=(rng.random(), rng.random()),
             now=0.1,
         )
         placement.note_sent(endpoint=chosen.name)
@@ -215,7 +218,7 @@
 
 
 def measure_listing(size: int) -> dict[str, float]:
-    """Measure one change of the instance list at a daemon."""
+    """Measure what one change of the instance list costs a daemon."""
     instances = (*make_entries(), *make_endpoints(size))
     body = msgspec.json.encode(Listing(version=1, instances=instances))
     directory = Directory(on_agent_lost=lambda agent, reason: None)
@@ -235,7 +238,7 @@
 
 
 def measure_listing_memory(size: int) -> dict[str, float]:
-    """Measure the memory of a listing alone and of the known endpoints."""
+    """Measure the memory of a listing, of listed endpoints and of their heartbeats."""
     instances = make_endpoints(size)
     body = msgspec.json.encode(Listing(version=1, instances=tuple(instances)))
     before = read_own_rss()
@@ -248,29 +251,31 @@
     for instance, data in zip(instances, loads, strict=True):
         load = msgspec.msgpack.decode(data, type=Load)
         directory.take_load(load, instance.mailbox, f"{instance.name}.1", 0.0)
-    heard = read_own_rss()
+    reported = read_own_rss()
     return {
         "listing bytes": (decoded - before) / size,
         "known bytes": (listed - decoded - sum(map(len, loads))) / size,
-        "heard bytes": (heard - listed) / size,
+        "heard bytes": (reported - listed) / size,
     }
 
 
 class Announcer:
-    """Announce revisions to agents that have the first one's facts."""
+    """Announces revisions to agents that have the facts of the first one."""
 
-    def __init__(self, place: Place, snapshot: Snapshot) -> None:
-        self.place = place
-        self.numbers = itertools.count(place.announced + 1)
+    def __init__(self, fixture: EntryFixture, snapshot: Snapshot) -> None:
+        self.fixture = fixture
+        self.numbers = itertools.count(fixture.announced + 1)
         self.snapshot = snapshot
         self.bytes = 0
         self.calls = 0
-        # The agents heard of have the facts of the first revision.
-        for endpoint in place.directory.reporting:
-            place.peers.send_facts(endpoint=endpoint, snapshot=snapshot, quarantined=())
+        # The agents that have sent a heartbeat get the facts of the first revision.
+        for endpoint in fixture.directory.reporting:
+            fixture.peers.send_facts(
+                endpoint=endpoint, snapshot=snapshot, quarantined=()
+            )
 
     def announce(self) -> None:
-        """Announce a revision that leaves the facts as they were."""
+        """Announce a revision that doesn't change the facts."""
         self._announce(self.snapshot)
 
     def announce_changed(self) -> None:
@@ -280,32 +285,32 @@
         self._announce(msgspec.structs.replace(self.snapshot, domains=domains))
 
     def find_bytes(self) -> float:
-        """Return the bytes of one announcement."""
+        """Return the mean bytes of an announcement."""
         return self.bytes / self.calls
 
     def _announce(self, snapshot: Snapshot) -> None:
         number = next(self.numbers)
-        before = self.place.bytes
-        self.place.peers.announce(
+        before = self.fixture.bytes
+        self.fixture.peers.announce(
             snapshot=msgspec.structs.replace(snapshot, revision=number), quarantined=()
         )
-        self.bytes += self.place.bytes - before
+        self.bytes += self.fixture.bytes - before
         self.calls += 1
-        self.place.announced = number
+        self.fixture.announced = number
 
 
 def measure_document(size: int) -> dict[str, float]:
-    """Measure a document of so many organisations."""
+    """Measure a document with `size` organisations."""
     text = make_document(organisations=size, models=MODELS, domains=DOMAINS)
     before = read_own_rss()
     snapshot: Snapshot = parse_document(text=text, revision=1)
     after = read_own_rss()
     build = functools.partial(build_facts, snapshot=snapshot, pool=POOL)
-    place = Place(endpoints=1000, heard=HEARD)
+    fixture = EntryFixture(endpoints=1000, reporting=REPORTING_ENDPOINTS)
 
-    kept = Announcer(place, snapshot)
+    kept = Announcer(fixture, snapshot)
     kept_us = time_call(kept.announce, rounds=9)
-    changed = Announcer(place, snapshot)
+    changed = Announcer(fixture, snapshot)
     changed_us = time_call(changed.announce_changed, rounds=9)
     return {
         "text bytes": len(text),
@@ -321,7 +326,7 @@
 
 
 async def follow_revisions(size: int) -> dict[str, float]:
-    """Measure a revision: the change by the operator, the entry that follows."""
+    """Measure what a change by an operator costs, and how an entry follows it."""
     table = ObjectTable(clock=time.monotonic)
     operator = DocumentHead(store=TableStore(table=table, caller="operator"))
     reader = DocumentHead(store=TableStore(table=table, caller="entry"))
@@ -352,12 +357,12 @@
 
 
 def measure_revision(size: int) -> dict[str, float]:
-    """Measure revisions of a document of so many organisations."""
+    """Measure revisions of a document with `size` organisations."""
     return asyncio.run(follow_revisions(size))
 
 
 async def exchange_parcels(size: int) -> dict[str, float]:
-    """Measure parcels of one heartbeat, sent to so many and received."""
+    """Measure sending and receiving batches of one heartbeat, with `size` receivers."""
     loop = asyncio.get_running_loop()
     arrived = 0
 
@@ -397,12 +402,12 @@
 
 
 def measure_parcels(size: int) -> dict[str, float]:
-    """Measure parcels between one sender and so many receivers."""
+    """Measure batches between one sender and `size` receivers."""
     return asyncio.run(exchange_parcels(size))
 
 
 def measure_messages(unused_size: int) -> dict[str, float]:
-    """Return the bytes of the messages that control is made of."""
+    """Return the bytes of control messages, and the bills that fit into a page."""
     address, incarnation = "tcp://10.10.10.10:7000", "entry-000.0123456789ab"
     presence = Presence(
         entry="entry-000", domain="d0", revision=27_000, ledger=f"{incarnation}.1"
@@ -418,7 +423,7 @@
 
 
 def make_bill_line(number: int) -> object:
-    """Return a line of a ledger as entries write it."""
+    """Return a ledger line as an entry writes it."""
     bill = Bill(
         attempt=f"entry-000.0123456789ab.a{number}",
         request=f"entry-000.0123456789ab.r{number}",
@@ -444,7 +449,7 @@
 
 
 def main(name: str, size: str) -> None:
-    """Print one slope's figures at a size."""
+    """Print the figures of one measurement at a size."""
     print(msgspec.json.encode(SLOPES[name](int(size))).decode())
 
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
-"""Run the fuzz of the whole system for minutes, a seed after another.
+"""Fuzz the whole system for some minutes, one seed after the other.
 
-`python -m bench.soak --seed N --minutes M` runs the steps of `bench/fuzz`
-for seeds from N on, in at most four processes, prints each failure with
-its seed and steps, and exits 1 if there was any.  Zero minutes run one seed;
-`--steps` bounds the steps of a seed.
+`python -m bench.soak --seed N --minutes M` runs the steps of `bench/fuzz` for the
+seeds from N on, in at most four processes.  It prints each failure with its seed
+and steps, and exits with 1 if there was any.  With zero minutes it runs one seed.
+`--steps` limits the steps of a seed.
 """
 
 import argparse
@@ -21,11 +21,11 @@
 from bench.fuzz.steps import MOST_STEPS, draw_steps
 
 MOST_PROCESSES = 4
-SECONDS_A_MINUTE = 60.0
+SECONDS_PER_MINUTE = 60.0
 
 
 class Run(msgspec.Struct, kw_only=True):
-    """One seed's verdict; `error` is a traceback when the run itself broke."""
+    """The result of one seed; `error` is the traceback if the run itself failed."""
 
     seed: int
     seconds: float
@@ -34,10 +34,10 @@
 
 
 def main() -> int:
-    """Run seeds until the time is over; return 1 after any failure."""
+    """Run seeds until the time is over; return 1 if any failed."""
     options = _read_options()
     began = time.monotonic()
-    ends_at = began + options.minutes * SECONDS_A_MINUTE
+    ends_at = began + options.minutes * SECONDS_PER_MINUTE
     if not options.minutes:
         runs = [_run_seed(options.seed, options.steps, is_loud=options.log)]
         _report(runs[0])
@@ -79,7 +79,7 @@
 
 
 def _collect(pending: collections.deque) -> list[Run]:
-    """Take the finished runs out and report them."""
+    """Remove the finished runs from `pending`, report and return them."""
     done = [result for result in pending if result.ready()]
     for result in done:
         pending.remove(result)
@@ -125,7 +125,7 @@
     print(f"soak: calls: {calls}")
     print(
         f"soak: {len(runs)} seeds from {min(seeds)} to {max(seeds)} in "
-        f"{seconds / SECONDS_A_MINUTE:.1f} minutes, {len(failed)} failed"
+        f"{seconds / SECONDS_PER_MINUTE:.1f} minutes, {len(failed)} failed"
     )
     return 1 if failed else 0
 
--- a/bench/stage.py
+++ b/bench/stage.py
@@ -1,4 +1,8 @@
-"""A system in processes of its own, with the platform's stand-ins here."""
+"""Runs a system for a measurement.
+
+Entries, agents and engines run in processes of their own, the platform's stand-ins
+in this one.
+"""
 
 import asyncio
 import itertools
@@ -15,12 +19,14 @@
 from .processes import Child, start_child
 
 CHAT = "/v1/chat/completions"
+# How long a new entry gets to find the agents.
 SETTLE_SECONDS = 3.0
-LONGEST_ANSWER = 8000
+# More tokens than a stream delivers during a measurement.
+ANSWER_TOKENS = 8000
 
 
 class Stage:
-    """The processes of one measurement; an async context manager."""
+    """The processes of one measurement, ended when the async context ends."""
 
     def __init__(self, *, document: str) -> None:
         self._children: list[Child] = []
@@ -31,7 +37,7 @@
         self._listing = InstanceListApi(table=self.instances)
 
     async def __aenter__(self) -> "Stage":
-        """Start the platform's stand-ins with a document in force."""
+        """Start the platform's stand-ins and apply the document."""
         await self._objects.start()
         await self._listing.start()
         self.operator = DocumentHead(store=TableStore(table=self.table, caller="op"))
@@ -41,14 +47,14 @@
         return self
 
     async def __aexit__(self, *unused: object) -> None:
-        """End all processes that were started here."""
+        """End all processes of the stage and the stand-ins."""
         for child in reversed(self._children):
             await child.end()
         await self._objects.stop()
         await self._listing.stop()
 
     async def start(self, role: str, **options: object) -> Child:
-        """Start a process; it ends with the stage."""
+        """Start a process that is ended with the stage."""
         child = await start_child(role, **options)
         self._children.append(child)
         return child
@@ -69,7 +75,7 @@
         return [child.ready["urls"] for child in await asyncio.gather(*starts)]
 
     async def start_agents(self, urls: list[str], *, pool: str = POOL) -> Child:
-        """Start a process with an agent beside each endpoint."""
+        """Start a process that runs an agent for each endpoint."""
         child = await self.start(
             "agents", urls=urls, pool=pool, instances_url=self._listing.url
         )
@@ -103,7 +109,7 @@
 
 
 def make_chat(url: str, *, model: str, tokens: int, stream: bool) -> Target:
-    """Return a chat request to an entry or, by its version, to an engine."""
+    """Return a chat request for a model at an entry, or for a version at an engine."""
     body = (
         f'{{"model":"{model}","stream":{str(stream).lower()},"max_tokens":{tokens},'
         '"messages":[{"role":"user","content":"How is a brake pad measured?"}]}'
@@ -112,12 +118,12 @@
 
 
 def make_streams(urls: list[str], *, model: str = MODEL) -> list[Target]:
-    """Return requests whose answers outlast a measurement."""
+    """Return chat requests whose streams last longer than a measurement."""
     return [
-        make_chat(url, model=model, tokens=LONGEST_ANSWER, stream=True) for url in urls
+        make_chat(url, model=model, tokens=ANSWER_TOKENS, stream=True) for url in urls
     ]
 
 
 def flatten(lists: list[list[str]]) -> list[str]:
-    """Return one list, with neighbours from different processes."""
+    """Return one list that takes from each inner list in turn."""
     return [url for row in itertools.zip_longest(*lists) for url in row if url]
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -1,4 +1,4 @@
-"""Tables of measured figures, for the terminal and for pages."""
+"""Tables of measured figures, printed to the terminal or as Markdown."""
 
 import msgspec
 import rich.table
@@ -6,14 +6,14 @@
 
 
 class Table(msgspec.Struct, kw_only=True, frozen=True):
-    """A titled table."""
+    """A table with a title and one heading for each column."""
 
     title: str
     headings: tuple[str, ...]
     rows: list[list[str]]
 
     def show(self, console: Console) -> None:
-        """Print the table."""
+        """Print the table to a terminal."""
         shown = rich.table.Table(*self.headings, title=self.title)
         for row in self.rows:
             shown.add_row(*row)
--- a/test/bench/test_clients.py
+++ b/test/bench/test_clients.py
@@ -1,4 +1,4 @@
-"""Tests of the light callers against a bare server."""
+"""Tests of the benchmark's HTTP clients against a minimal server."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
     return server, f"http://127.0.0.1:{port}"
 
 
-def test_short_requests_are_counted_once_the_whole_answer_is_here():
+def test_short_requests_are_counted_once_the_answer_is_complete():
     async def run():
         server, url = await serve([ANSWER[:20], ANSWER[20:-2], ANSWER[-2:]])
         async with server:
@@ -43,7 +43,7 @@
     assert asyncio.run(run())[1] == 10
 
 
-def test_streams_are_counted_by_event_and_lost_ones_noted():
+def test_events_and_lost_streams_are_counted():
     async def run():
         server, url = await serve([STREAM])
         tally = Tally()
--- a/test/bench/test_documents.py
+++ b/test/bench/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the documents that measurements use."""
+"""Tests of the generated documents that measurements use."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("organisations", [1, 40])
-def test_a_document_has_no_faults_and_admits_its_callers(organisations):
+def test_a_document_is_valid_and_admits_its_callers(organisations):
     text = make_document(organisations=organisations, models=3, domains=2)
     snapshot = parse_document(text=text, revision=1)
     assert isinstance(snapshot, Snapshot), snapshot
--- a/test/bench/test_processes.py
+++ b/test/bench/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of what is read of a process."""
+"""Tests of reading a process's CPU time and memory."""
 
 import time
 
@@ -9,7 +9,7 @@
     before = time.thread_time()
     with open("/proc/thread-self/schedstat") as file:
         spent = read_cpu(file.read())
-    # The count is brought up to date at the scheduler's next tick.
+    # The scheduler updates its statistics only at the next tick.
     assert before - 0.1 <= spent <= time.thread_time() + 0.1
 
 
