--- a/bench/gatewaysoak/__init__.py
+++ b/bench/gatewaysoak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomised soak of real gateway processes, with faults from outside."""
+"""A randomised soak test: real gateway processes under injected faults."""
--- a/bench/gatewaysoak/answers.py
+++ b/bench/gatewaysoak/answers.py
@@ -1,119 +1,145 @@
-"""What a caller must be told by a gate that stops, and which requests weren't."""
+"""Checks that every request was answered as a running or stopping gateway must.
+
+All times are in seconds, on the monotonic clock.
+"""
 
 import collections
 import time
 from collections.abc import Iterable
 
-from .callers import Told
-from .gateways import GatewayProcess, Life
+from .callers import RequestResult
+from .gateways import GatewayProcess, ProcessLifetime
 from .lateness import Lateness
 
-# From so long after SIGTERM on a request is late: the balancer has taken the
-# gate out, and the gate knows when its process ends.
-LATE_SECONDS = 3.0
-# The most that any route of the soak gives a request.
-ROUTE_SECONDS = 8.0
-MILLISECONDS = 1000.0
-# In which a caller sees that its endpoint broke off, over a slow link.
-BREAK_SECONDS = 0.5
+# A request is late if it is sent this long after SIGTERM or later: by then the load
+# balancer has removed the gateway, which knows when its process will end.
+LATE_AFTER_SIGTERM_SECONDS = 3.0
+# The longest request timeout of the routes that the soak configures.
+MAX_ROUTE_SECONDS = 8.0
+MS_PER_SECOND = 1000.0
+# How long a caller may take to notice over a slow link that the endpoint broke off.
+BREAK_DETECTION_SECONDS = 0.5
+
 
+class AnswerCheck:
+    """Checks the requests of a seed against what happened to their gateways.
 
-class Answers:
-    """The requests of a seed, judged by the lives of the gates that got them."""
+    `broken` holds, by attempt, the time at which an endpoint last broke off its
+    stream, `resets` the times at which links to endpoints were reset.
+    """
 
     def __init__(
         self,
         *,
-        told: Iterable[Told],
-        gates: list[GatewayProcess],
+        results: Iterable[RequestResult],
+        gateways: list[GatewayProcess],
         broken: dict[str, float],
         resets: Iterable[float] = (),
         lateness: Lateness | None = None,
     ) -> None:
         self._lateness = lateness or Lateness()
-        self._told = list(told)
-        # When endpoints last broke off an attempt's stream.
-        self._broken = broken
-        # When links to endpoints were reset.
-        self._resets = list(resets)
-        self._gates = {gate.listen: gate for gate in gates}
-        self._read = {gate.listen: gate.list_read() for gate in gates}
-        self._started = {gate.listen: gate.list_started() for gate in gates}
-        # Late requests by what became of them.
+        self._results = list(results)
+        self._broken_at = broken
+        self._reset_times = list(resets)
+        self._gateways = {gateway.listen: gateway for gateway in gateways}
+        self._read = {
+            gateway.listen: gateway.list_read_attempts() for gateway in gateways
+        }
+        self._started = {
+            gateway.listen: gateway.list_start_times() for gateway in gateways
+        }
+        # Numbers of late requests by outcome.
         self.counts: collections.Counter[str] = collections.Counter()
 
     def list_faults(self) -> list[str]:
-        """Return which requests weren't answered as they must be."""
-        found = [f"{one.attempt}: {self._judge(one)}" for one in self._told]
+        """Describe requests without a proper answer and gateways that stopped late."""
+        found = [f"{one.attempt}: {self._find_fault(one)}" for one in self._results]
         overdue = [
-            f"{gate.listen} went on beyond its grace"
-            for gate in self._gates.values()
-            for life in gate.lives
-            if life.is_overdue
+            f"{gateway.listen} went on beyond its grace"
+            for gateway in self._gateways.values()
+            for lifetime in gateway.lifetimes
+            if lifetime.exceeded_grace
         ]
         return [fault for fault in found if not fault.endswith(": ")] + overdue
 
-    def _judge(self, told: Told) -> str:
-        """Return what is wrong with how a request ended, if anything is."""
-        life = self._gates[told.gate].find_life(told.connected_at)
-        is_late = told.sent_at >= life.told_at + LATE_SECONDS
+    def _find_fault(self, result: RequestResult) -> str:
+        """Return what is wrong with how a request ended, or an empty string."""
+        lifetime = self._gateways[result.gateway].find_lifetime(result.connected_at)
+        is_late = result.sent_at >= lifetime.sigterm_at + LATE_AFTER_SIGTERM_SECONDS
         if is_late:
-            self.counts[f"late {told.status if told.is_whole else 'not whole'}"] += 1
-        if told.is_whole or life.was_hit(told.sent_at, told.ended_at):
+            self.counts[
+                f"late {result.status if result.is_whole else 'not whole'}"
+            ] += 1
+        if result.is_whole or lifetime.was_disrupted(result.sent_at, result.ended_at):
             return ""
-        if told.has_part:
-            if not is_late or _had_its_time(told) or self._was_broken(told):
+        if result.has_partial_answer:
+            if (
+                not is_late
+                or _used_whole_timeout(result)
+                or self._lost_endpoint(result)
+            ):
                 return ""
-            return self._describe(told, life, "cut in the middle")
-        if told.gave_up and not self._had_started(told, life):
-            # On an overloaded machine a process may load for longer than its
-            # callers wait; nothing has refused or closed what they sent.
+            return self._describe(result, lifetime, "cut in the middle")
+        if result.gave_up and not self._had_started(result, lifetime):
+            # On an overloaded machine a process may take longer to load than its
+            # callers wait; it has neither refused the request nor closed the
+            # connection.
             self.counts["given up before the start"] += 1
             return ""
-        return self._describe(told, life, "no answer")
+        return self._describe(result, lifetime, "no answer")
 
-    def _had_started(self, told: Told, life: Life) -> bool:
-        """Tell whether the process had loaded when the request was over."""
-        return any(life.began <= at <= told.ended_at for at in self._started[told.gate])
+    def _had_started(self, result: RequestResult, lifetime: ProcessLifetime) -> bool:
+        """Return whether the process had loaded before the request ended."""
+        return any(
+            lifetime.began <= at <= result.ended_at
+            for at in self._started[result.gateway]
+        )
 
-    def _was_broken(self, told: Told) -> bool:
-        """Tell whether the request ended because its endpoint or link broke off.
+    def _lost_endpoint(self, result: RequestResult) -> bool:
+        """Return whether the request ended because its endpoint or link broke off.
 
-        It was relayed, as its own limit lay before the end, and no other attempt
-        was left: then a gate that goes on can do nothing else either.
+        The gateway relayed such a request because its timeout ends before the
+        process does, and it has no attempt left.  A gateway that isn't stopping
+        couldn't save it either.
         """
-        times = [*self._resets, self._broken.get(told.attempt, 0.0)]
+        times = [*self._reset_times, self._broken_at.get(result.attempt, 0.0)]
         return any(
-            max(told.sent_at, told.ended_at - BREAK_SECONDS) <= at <= told.ended_at
+            max(result.sent_at, result.ended_at - BREAK_DETECTION_SECONDS)
+            <= at
+            <= result.ended_at
             for at in times
         )
 
-    def _describe(self, told: Told, life: Life, what: str) -> str:
-        was_read = "read" if told.attempt in self._read[told.gate] else "not read"
+    def _describe(
+        self, result: RequestResult, lifetime: ProcessLifetime, what: str
+    ) -> str:
+        was_read = (
+            "read" if result.attempt in self._read[result.gateway] else "not read"
+        )
         return (
-            f"{what}, {told.path} at {told.gate}, {was_read}, sent "
-            f"{told.sent_at - life.told_at:.2f} s from SIGTERM, over after "
-            f"{told.ended_at - told.sent_at:.2f} of {_find_limit(told):.1f} s, "
-            f"{'kept' if told.is_kept else 'new'} connection of "
-            f"{told.sent_at - told.connected_at:.2f} s, {told.error}, sent at "
-            f"{_tell_time(told.sent_at)}, the soak was held up for "
-            f"{self._lateness.sum_within(told.connected_at, told.ended_at):.2f} s"
+            f"{what}, {result.path} at {result.gateway}, {was_read}, sent "
+            f"{result.sent_at - lifetime.sigterm_at:.2f} s from SIGTERM, over after "
+            f"{result.ended_at - result.sent_at:.2f} of {_find_timeout(result):.1f} s, "
+            f"{'kept' if result.is_reused else 'new'} connection of "
+            f"{result.sent_at - result.connected_at:.2f} s, {result.error}, sent at "
+            f"{_format_wall_time(result.sent_at)}, the soak was held up for "
+            f"{self._lateness.sum_within(result.connected_at, result.ended_at):.2f} s"
         )
 
 
-def _tell_time(at: float) -> str:
-    """Return a steady time as that of the gates' logs."""
+def _format_wall_time(at: float) -> str:
+    """Format a monotonic time as a wall clock time, as the gateways' logs have it."""
     return f"{time.time() - time.monotonic() + at:.3f}"
 
 
-def _had_its_time(told: Told) -> bool:
-    """Tell whether a request had all the time that its caller gave it.
+def _used_whole_timeout(result: RequestResult) -> bool:
+    """Return whether a request lasted for its whole timeout.
 
-    Such a stream is relayed as by a gate that goes on, and breaks off when its
-    own time is over, wherever its endpoint is by then.
+    A stopping gateway relays such a stream as any other gateway does, and cuts it at
+    the timeout, however far its endpoint has got.
     """
-    return told.ended_at - told.sent_at >= _find_limit(told)
+    return result.ended_at - result.sent_at >= _find_timeout(result)
 
 
-def _find_limit(told: Told) -> float:
-    return min(told.patience_ms / MILLISECONDS, ROUTE_SECONDS)
+def _find_timeout(result: RequestResult) -> float:
+    return min(result.timeout_ms / MS_PER_SECOND, MAX_ROUTE_SECONDS)
--- a/bench/gatewaysoak/callers.py
+++ b/bench/gatewaysoak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that check what they get."""
+"""Callers that send requests at random and check the answers."""
 
 import asyncio
 import itertools
@@ -13,132 +13,146 @@
 from .lateness import Lateness
 from .steps import EVENTS
 
+# Paths whose answers are streams of events.
 STREAMS = ("/chat/1", "/once/1", "/final/1")
 PATHS = ("/look/1", "/issue/1", "/issue/1", "/chat/1", "/chat/1", "/once/1", "/final/1")
-# What callers wait, often longer than a stopping gate has left.
-PATIENCES_MS = (700, 2_000, 4_000, 4_000, 9_000)
+# Request timeouts; many are longer than the remaining grace of a stopping gateway.
+TIMEOUTS_MS = (700, 2_000, 4_000, 4_000, 9_000)
+# How long a caller waits for an answer before it gives up.
 ANSWER_SECONDS = 12.0
 PAUSE_SECONDS = 0.05
-# Some callers let their connection rest for longer.
-REST_SHARE = 0.05
-REST_SECONDS = 2.0
+# Some callers leave their connection idle for longer.
+LONG_PAUSE_SHARE = 0.05
+LONG_PAUSE_SECONDS = 2.0
 
 
-class Told(msgspec.Struct, kw_only=True, frozen=True):
-    """What a caller was told of one request, status 0 for nothing.
+class RequestResult(msgspec.Struct, kw_only=True, frozen=True):
+    """How one request ended for its caller.
 
-    `is_kept` tells that its connection had been used before, `has_part` that something
-    of an answer came, `gave_up` that the caller itself ended it.  Times are steady,
-    `connected_at` is that at which the connection was asked for.
+    `gateway` is the address that the request was sent to.  `status` is 0 without an
+    answer.  `is_reused` means that the connection had served a request before,
+    `has_partial_answer` that at least a part of the answer arrived, `gave_up` that
+    the caller stopped waiting.  `fault` says what is wrong with a successful answer.
+    Times are monotonic; `connected_at` is when the caller began to connect.
     """
 
     attempt: str
     path: str
-    gate: str
-    is_kept: bool
-    patience_ms: int
+    gateway: str
+    is_reused: bool
+    timeout_ms: int
     connected_at: float
     sent_at: float
     ended_at: float
     status: int
     is_whole: bool
-    has_part: bool
+    has_partial_answer: bool
     gave_up: bool = False
     error: str = ""
     fault: str = ""
 
 
 class Callers:
-    """Callers that go on until told to stop, each on a connection that it keeps."""
+    """Callers that send requests until `is_stopping` is set.
+
+    Each runs `run` and keeps its connection alive between requests.
+    """
 
     def __init__(
         self,
         *,
-        dice: random.Random,
+        rng: random.Random,
         addresses: Callable[[], list],
         lateness: Lateness,
     ) -> None:
         self._lateness = lateness
-        self.told: list[Told] = []
-        self.is_over = False
-        self._dice = dice
+        self.results: list[RequestResult] = []
+        self.is_stopping = False
+        self._rng = rng
         self._addresses = addresses
         self._numbers = itertools.count()
 
     async def run(self) -> None:
-        """Send requests one after the other."""
+        """Send one request after the other as a single caller."""
         caller: Caller | None = None
-        gate = ""
-        is_kept = False
+        gateway = ""
+        is_reused = False
         connected_at = 0.0
-        while not self.is_over:
+        while not self.is_stopping:
             if caller is None:
-                gate = self._dice.choice(self._addresses())
+                gateway = self._rng.choice(self._addresses())
                 connected_at = time.monotonic()
-                caller = await _connect(gate)
-                is_kept = False
+                caller = await _connect(gateway)
+                is_reused = False
             if caller is None:
                 await asyncio.sleep(PAUSE_SECONDS)
                 continue
-            told, keeps = await self._ask(caller, gate, is_kept, connected_at)
-            self.told.append(told)
+            result, is_reusable = await self._send_request(
+                caller, gateway, is_reused, connected_at
+            )
+            self.results.append(result)
             await asyncio.sleep(self._draw_pause())
-            is_kept = True
-            if not keeps or caller.reader.at_eof():
+            is_reused = True
+            if not is_reusable or caller.reader.at_eof():
                 caller.close()
                 caller = None
         if caller is not None:
             caller.close()
 
     def _draw_pause(self) -> float:
-        rests = self._dice.random() < REST_SHARE
-        return self._dice.random() * (REST_SECONDS if rests else PAUSE_SECONDS)
+        is_long = self._rng.random() < LONG_PAUSE_SHARE
+        return self._rng.random() * (LONG_PAUSE_SECONDS if is_long else PAUSE_SECONDS)
 
-    async def _ask(
-        self, caller: Caller, gate: str, is_kept: bool, connected_at: float
-    ) -> tuple[Told, bool]:
+    async def _send_request(
+        self, caller: Caller, gateway: str, is_reused: bool, connected_at: float
+    ) -> tuple[RequestResult, bool]:
         attempt = f"a{next(self._numbers)}"
-        path = self._dice.choice(PATHS)
-        patience_ms = self._dice.choice(PATIENCES_MS)
-        chooses = path == "/chat/1" and self._dice.random() < 0.5
+        path = self._rng.choice(PATHS)
+        timeout_ms = self._rng.choice(TIMEOUTS_MS)
+        lets_router_choose = path == "/chat/1" and self._rng.random() < 0.5
         sent_at = time.monotonic()
-        got, error, has_part = None, None, False
+        response, error, has_partial_answer = None, None, False
         reading = asyncio.ensure_future(caller.read())
         try:
             caller.send(
                 path,
                 attempt=attempt,
-                timeout_ms=patience_ms,
-                headers=ANY_MODEL_HEADERS if chooses else (),
+                timeout_ms=timeout_ms,
+                headers=ANY_MODEL_HEADERS if lets_router_choose else (),
             )
-            got = await self._wait_answer(reading, sent_at)
-            has_part = True
+            response = await self._wait_answer(reading, sent_at)
+            has_partial_answer = True
         except asyncio.IncompleteReadError as cut:
-            error, has_part = cut, bool(cut.partial)
+            error, has_partial_answer = cut, bool(cut.partial)
         except (OSError, TimeoutError) as broken:
             error = broken
-        told = Told(
+        result = RequestResult(
             attempt=attempt,
             path=path,
-            gate=gate,
-            is_kept=is_kept,
-            patience_ms=patience_ms,
+            gateway=gateway,
+            is_reused=is_reused,
+            timeout_ms=timeout_ms,
             connected_at=connected_at,
             sent_at=sent_at,
             ended_at=time.monotonic(),
-            status=got.status if got else 0,
-            is_whole=got is not None and got.is_whole,
-            has_part=has_part,
+            status=response.status if response else 0,
+            is_whole=response is not None and response.is_whole,
+            has_partial_answer=has_partial_answer,
             gave_up=isinstance(error, TimeoutError),
             error=repr(error) if error else "",
-            fault=_find_fault(path, attempt, got) if got and got.status == 200 else "",
+            fault=_find_fault(path, attempt, response)
+            if response and response.status == 200
+            else "",
         )
-        return told, told.is_whole and got.headers.get("connection") != "close"
+        return result, result.is_whole and response.headers.get("connection") != "close"
 
     async def _wait_answer(
         self, reading: asyncio.Future, sent_at: float
     ) -> CallerResponse:
-        """Wait for an answer for so long as this process isn't held up itself."""
+        """Wait `ANSWER_SECONDS` for an answer; raise `TimeoutError`.
+
+        The wait is extended by the time for which this process was itself held up.
+        """
         last = sent_at + ANSWER_SECONDS
         while not reading.done() and (left := last - time.monotonic()) > 0:
             await asyncio.wait({reading}, timeout=left)
@@ -159,15 +173,19 @@
         return None
 
 
-def _find_fault(path: str, attempt: str, got: CallerResponse) -> str:
-    """Return what is wrong with a success, if anything is."""
+def _find_fault(path: str, attempt: str, response: CallerResponse) -> str:
+    """Return what is wrong with a successful answer, or an empty string."""
     if path not in STREAMS:
-        return "" if got.body == attempt.encode() else f"another's answer: {got.body!r}"
+        return (
+            ""
+            if response.body == attempt.encode()
+            else f"another's answer: {response.body!r}"
+        )
     numbers = [
         int(line.removeprefix("id: "))
-        for line in got.body.decode().split("\n")
+        for line in response.body.decode().split("\n")
         if line.startswith("id: ")
     ]
     expected = list(range(1, EVENTS + 1))
-    is_right = numbers == (expected if got.is_whole else expected[: len(numbers)])
-    return "" if is_right else f"events {numbers}, whole: {got.is_whole}"
+    is_right = numbers == (expected if response.is_whole else expected[: len(numbers)])
+    return "" if is_right else f"events {numbers}, whole: {response.is_whole}"
--- a/bench/gatewaysoak/draining.py
+++ b/bench/gatewaysoak/draining.py
@@ -1,68 +1,71 @@
-"""Endpoints that leave while faults go on, and what may reach them then."""
+"""Checks that draining endpoints get no more requests, while faults are injected."""
 
 import time
 
 import msgspec
 
-# What a gateway that reaches the store may take to send nothing more, by its
-# settings, and what a busy machine adds.
+# How long a gateway that reaches the store may still send requests to a draining
+# endpoint according to its settings, and what a busy machine adds.
 DRAIN_SECONDS = 2.0
 SLACK_SECONDS = 1.5
 
 
 class Outage(msgspec.Struct, kw_only=True):
-    """A fault that keeps gateways from hearing of changes; times are steady."""
+    """A fault that keeps gateways from learning of changes; times are monotonic."""
 
     began: float
     ended: float
 
 
-class Leaver(msgspec.Struct, kw_only=True, frozen=True):
-    """An endpoint, and when the store took the news that it leaves."""
+class DrainingEndpoint(msgspec.Struct, kw_only=True, frozen=True):
+    """An endpoint, and the monotonic time at which the store listed it as draining."""
 
     name: str
-    told_at: float
+    drained_at: float
 
 
-class Leavers:
-    """Which endpoints left when, and when gateways couldn't hear of it."""
+class DrainTracker:
+    """Records when endpoints began to drain, and outages that hide it from gateways."""
 
     def __init__(self) -> None:
-        self._left: list[Leaver] = []
+        self._draining: list[DrainingEndpoint] = []
         self._outages: list[Outage] = []
 
     @property
     def names(self) -> set[str]:
-        """Return the names of those that left."""
-        return {one.name for one in self._left}
+        """Return the names of the draining endpoints."""
+        return {one.name for one in self._draining}
 
-    def note_left(self, name: str) -> None:
-        """Note that the store took an endpoint's leaving."""
-        self._left.append(Leaver(name=name, told_at=time.monotonic()))
+    def note_draining(self, name: str) -> None:
+        """Note that the store now lists an endpoint as draining."""
+        self._draining.append(DrainingEndpoint(name=name, drained_at=time.monotonic()))
 
     def begin_outage(self) -> Outage:
-        """Note a fault between gateways and the store, or of a gateway."""
+        """Note a fault of a gateway, of the store or of a link.
+
+        The caller sets the outage's end.
+        """
         now = time.monotonic()
         outage = Outage(began=now, ended=float("inf"))
         self._outages.append(outage)
         return outage
 
     def list_late(self, runs: dict[str, list[float]]) -> list[str]:
-        """Return what reached an endpoint too late after it began to leave.
+        """Describe the requests that reached an endpoint too long after its drain.
 
-        `runs` holds the times of each endpoint's requests.  A request counts
-        if gateways had an untroubled time as long as the bound before it.
+        `runs` holds the monotonic times of each endpoint's requests.  A request
+        is too late if gateways had no outage for the whole bound before it.
         """
         return [
-            f"{one.name} got a request {at - one.told_at:.2f} s after it left"
-            for one in self._left
+            f"{one.name} got a request {at - one.drained_at:.2f} s after it left"
+            for one in self._draining
             for at in runs.get(one.name, ())
-            if at > one.told_at and self._had_time(one.told_at, at)
+            if at > one.drained_at and self._is_bound_over(one.drained_at, at)
         ]
 
-    def _had_time(self, told_at: float, at: float) -> bool:
-        """Tell whether calm lasted for the bound since the news, until now."""
-        calm_since = max(
+    def _is_bound_over(self, drained_at: float, at: float) -> bool:
+        """Return whether the bound has passed since the drain and the last outage."""
+        last_outage_end = max(
             (one.ended for one in self._outages if one.began < at), default=0.0
         )
-        return at > max(told_at, calm_since) + DRAIN_SECONDS + SLACK_SECONDS
+        return at > max(drained_at, last_outage_end) + DRAIN_SECONDS + SLACK_SECONDS
--- a/bench/gatewaysoak/failed.py
+++ b/bench/gatewaysoak/failed.py
@@ -1,29 +1,32 @@
-"""Seeds that failed once, and by what.
+"""Seeds that failed in the past, and the cause of each failure.
 
-The dice settle a seed's faults, not the moments at which they strike: one that
-failed may pass on the same code.
+A seed determines which faults are injected, but not exactly when they take effect,
+so a seed that failed may pass on the same code.
 """
 
-# Faults of the gateway, each with the commit that it was found on.
-PRODUCT = {
-    1: "641b7b0: streams taken late in a stop by an estimate were cut",
-    3: "641b7b0: late requests without any answer; callers in the queue of a gate "
-    "that was told to stop while it loaded were cut",
-    4: "641b7b0: streams taken late in a stop by an estimate were cut",
-    5: "641b7b0: callers in the queue of a gate that was told to stop while it loaded",
-    6: "d312df8: the same, with kills and pauses besides",
-    114: "2e46f9a: a request in the last moment of a stop was read, and its refusal "
-    "not sent",
+# Faults of the gateway, each with the commit on which it was found.
+PRODUCT_FAULTS = {
+    1: "641b7b0: streams that a stopping gateway accepted late, because it estimated "
+    "that they would finish in time, were cut",
+    3: "641b7b0: late requests got no answer; a gateway that got SIGTERM while it "
+    "loaded cut the connections that waited in its listen queue",
+    4: "641b7b0: the same as seed 1",
+    5: "641b7b0: a gateway that got SIGTERM while it loaded cut the connections that "
+    "waited in its listen queue",
+    6: "d312df8: the same as seed 5, together with kills and pauses",
+    114: "2e46f9a: a request that was read at the last moment of a stop was never sent "
+    "its refusal",
 }
 
-# Faults of the soak's own checks, which took what is allowed for a fault.
-CHECKS = {
-    7: "a stream that its endpoint broke off, or that used up its own limit",
-    18: "requests on connections to a gate that was being killed",
-    120: "a kept connection, closed as idle while a request was on its way",
+# Faults of the soak's own checks: allowed behaviour that they reported as a fault.
+CHECK_FAULTS = {
+    7: "a stream that its endpoint broke off, or that reached its own timeout",
+    18: "requests on connections to a gateway that was being killed",
+    120: "a keep-alive connection, closed as idle while a request was in flight",
     141: "a link to an endpoint was reset",
     142: "a link to an endpoint was reset",
-    149: "a kept connection, closed as idle while a request was on its way",
-    204: "a process that was done took long to end on an overloaded machine",
-    231: "the same",
+    149: "the same as seed 120",
+    204: "a process that had finished stopping took long to exit on an overloaded "
+    "machine",
+    231: "the same as seed 204",
 }
--- a/bench/gatewaysoak/gateways.py
+++ b/bench/gatewaysoak/gateways.py
@@ -1,4 +1,4 @@
-"""Gateway processes, and what happened to each of their lives."""
+"""Starts, stops and disturbs gateway processes, and records their lifetimes."""
 
 import asyncio
 import os
@@ -14,9 +14,11 @@
 from test.ports import find_port
 
 GRACE_SECONDS = 5.0
-LOOK_SECONDS = 0.02
-# What a busy machine may take to end a process and to tell of it.
+POLL_SECONDS = 0.02
+# What a busy machine may need beyond the grace period for the process to exit and
+# for the soak to notice.
 END_SLACK_SECONDS = 0.5
+# Log lines that name a request which the gateway has read, and that report a start.
 READ_ATTEMPT = re.compile(r'"request":"(\w+)"')
 STARTED = re.compile(r'^{"time":([\d.]+),.*"gateway: \S+ started in', re.MULTILINE)
 SETTINGS = """\
@@ -35,33 +37,38 @@
 """
 
 
-class Blow(msgspec.Struct, kw_only=True):
-    """A kill or a pause that nobody planned; times are steady."""
+class Disruption(msgspec.Struct, kw_only=True):
+    """An unplanned kill or pause of a process; times are monotonic."""
 
     began: float
     ended: float
 
 
-class Life(msgspec.Struct, kw_only=True):
-    """One process of a gate, from its start to its end; times are steady.
+class ProcessLifetime(msgspec.Struct, kw_only=True):
+    """One process of a gateway, from its start to its end; times are monotonic.
 
-    `told_at` is the time of SIGTERM, `is_overdue` tells that the process still
-    had callers at the end of its grace.
+    `sigterm_at` is when SIGTERM was sent.  `exceeded_grace` means that the process
+    still had callers, and so hadn't finished stopping, at the end of its grace period.
     """
 
     began: float
-    told_at: float = float("inf")
+    sigterm_at: float = float("inf")
     ended: float = float("inf")
-    is_overdue: bool = False
-    blows: list[Blow] = msgspec.field(default_factory=list)
+    exceeded_grace: bool = False
+    disruptions: list[Disruption] = msgspec.field(default_factory=list)
 
-    def was_hit(self, began: float, ended: float) -> bool:
-        """Tell whether something unplanned hit the process in this time."""
-        return any(one.began <= ended and one.ended >= began for one in self.blows)
+    def was_disrupted(self, began: float, ended: float) -> bool:
+        """Return whether a disruption overlaps this time."""
+        return any(
+            one.began <= ended and one.ended >= began for one in self.disruptions
+        )
 
 
 class GatewayProcess:
-    """One gateway process, started again under the same settings."""
+    """A gateway that is started again under the same settings after each end.
+
+    `lifetimes` holds its processes, the latest last.
+    """
 
     def __init__(
         self,
@@ -74,8 +81,8 @@
     ) -> None:
         self.listen = f"127.0.0.{number}:{find_port()}"
         self.grace = grace
-        self.lives: list[Life] = []
-        self._pauses: list[Blow] = []
+        self.lifetimes: list[ProcessLifetime] = []
+        self._pauses: list[Disruption] = []
         self._log_path = Path(folder, f"entry-{number}.log")
         self._path = Path(folder, f"entry-{number}.ini")
         self._path.write_text(
@@ -92,21 +99,24 @@
 
     @property
     def is_up(self) -> bool:
-        """Tell whether the process runs."""
+        """Return whether the process runs."""
         return self.process is not None and self.process.poll() is None
 
     @property
-    def grace_left(self) -> float:
-        """Return the seconds that a stopping process has left; 0 if none is."""
-        left = self.lives[-1].told_at + self.grace - time.monotonic()
+    def remaining_grace(self) -> float:
+        """Return the seconds of grace that a stopping process still has.
+
+        Return 0 if no process is stopping.
+        """
+        left = self.lifetimes[-1].sigterm_at + self.grace - time.monotonic()
         return left if self.is_up and left <= self.grace else 0.0
 
     def start(self) -> None:
         """Start the process unless it runs."""
         if self.is_up:
             return
-        self._note_ended()
-        self.lives.append(Life(began=time.monotonic()))
+        self._note_end()
+        self.lifetimes.append(ProcessLifetime(began=time.monotonic()))
         with self._log_path.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "eelgrassrack.gateway", str(self._path)],
@@ -115,86 +125,94 @@
             )
 
     def send(self, number: int) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process still runs."""
         if self.is_up:
             os.kill(self.process.pid, number)
 
     async def stop(self) -> None:
-        """Stop the process as planned, and start it again once it has ended."""
-        life = self.lives[-1]
+        """Stop the process with SIGTERM, and start it again once it has ended.
+
+        A process that outlasts its grace period is killed.
+        """
+        lifetime = self.lifetimes[-1]
         now = time.monotonic()
-        if life.told_at <= now or not self.is_up:
+        if lifetime.sigterm_at <= now or not self.is_up:
             return
-        life.told_at = now
+        lifetime.sigterm_at = now
         self.send(signal.SIGTERM)
         while self.is_up:
-            if time.monotonic() > life.told_at + self.grace + END_SLACK_SECONDS:
-                was_hit = life.was_hit(life.told_at, time.monotonic())
-                life.is_overdue = not was_hit and not self._has_closed()
+            if time.monotonic() > lifetime.sigterm_at + self.grace + END_SLACK_SECONDS:
+                was_disrupted = lifetime.was_disrupted(
+                    lifetime.sigterm_at, time.monotonic()
+                )
+                lifetime.exceeded_grace = (
+                    not was_disrupted and not self._has_logged_stop()
+                )
                 self.kill()
                 self.process.wait()
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         self.start()
 
     def kill(self) -> None:
         """Kill the process."""
-        # What is sent to a process that is dying isn't answered either.
-        blow = Blow(began=time.monotonic(), ended=float("inf"))
-        self.lives[-1].blows.append(blow)
+        # The disruption has no end, because requests sent to a process that is
+        # being killed aren't answered either.
+        disruption = Disruption(began=time.monotonic(), ended=float("inf"))
+        self.lifetimes[-1].disruptions.append(disruption)
         self.send(signal.SIGKILL)
 
     def pause(self) -> None:
         """Pause the process."""
-        blow = Blow(began=time.monotonic(), ended=float("inf"))
-        self.lives[-1].blows.append(blow)
-        self._pauses.append(blow)
+        disruption = Disruption(began=time.monotonic(), ended=float("inf"))
+        self.lifetimes[-1].disruptions.append(disruption)
+        self._pauses.append(disruption)
         self.send(signal.SIGSTOP)
 
-    def wake(self) -> None:
-        """Have a paused process go on."""
+    def resume(self) -> None:
+        """Resume a paused process."""
         self.send(signal.SIGCONT)
         now = time.monotonic()
-        for blow in self._pauses:
-            blow.ended = min(blow.ended, now)
+        for disruption in self._pauses:
+            disruption.ended = min(disruption.ended, now)
 
     def close(self) -> None:
         """End the process for good."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         self.process.wait()
-        self._note_ended()
+        self._note_end()
 
-    def find_life(self, at: float) -> Life:
-        """Return the latest life that had begun by then."""
+    def find_lifetime(self, at: float) -> ProcessLifetime:
+        """Return the latest lifetime that had begun at a time."""
         return max(
-            (life for life in self.lives if life.began <= at),
-            key=lambda life: life.began,
+            (lifetime for lifetime in self.lifetimes if lifetime.began <= at),
+            key=lambda lifetime: lifetime.began,
         )
 
-    def list_read(self) -> set[str]:
-        """Return the attempts that the log names: those that were read whole."""
+    def list_read_attempts(self) -> set[str]:
+        """Return the attempts named in the log, which were read completely."""
         return set(READ_ATTEMPT.findall(self._read_log()))
 
-    def list_started(self) -> list[float]:
-        """Return the steady times at which processes had loaded, by the log."""
-        ahead = time.time() - time.monotonic()
-        return [float(at) - ahead for at in STARTED.findall(self._read_log())]
+    def list_start_times(self) -> list[float]:
+        """Return the monotonic times at which the log says processes had loaded."""
+        offset = time.time() - time.monotonic()
+        return [float(at) - offset for at in STARTED.findall(self._read_log())]
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the process that runs has loaded."""
+        """Return whether the running process has loaded."""
         return self.is_up and any(
-            at >= self.lives[-1].began for at in self.list_started()
+            at >= self.lifetimes[-1].began for at in self.list_start_times()
         )
 
     def _read_log(self) -> str:
         return self._log_path.read_text(errors="replace")
 
-    def _has_closed(self) -> bool:
-        """Tell whether the process was done and had only to be left by the system."""
+    def _has_logged_stop(self) -> bool:
+        """Return whether the process had finished stopping and only had to exit."""
         text = self._read_log()
         return text.rfind("gateway: stopped") > text.rfind("gateway: stopping")
 
-    def _note_ended(self) -> None:
-        if self.lives:
-            self.lives[-1].ended = min(self.lives[-1].ended, time.monotonic())
+    def _note_end(self) -> None:
+        if self.lifetimes:
+            self.lifetimes[-1].ended = min(self.lifetimes[-1].ended, time.monotonic())
--- a/bench/gatewaysoak/lateness.py
+++ b/bench/gatewaysoak/lateness.py
@@ -1,28 +1,32 @@
-"""How late the soak's own process is, so that it isn't taken for the gates."""
+"""Measures delays of the soak's own event loop.
+
+The checks subtract them, so that a busy machine isn't mistaken for a slow gateway.
+"""
 
 import asyncio
 import time
 
-LOOK_SECONDS = 0.05
-LEAST_SECONDS = 0.05
+POLL_SECONDS = 0.05
+# Shorter delays aren't recorded.
+MIN_DELAY_SECONDS = 0.05
 
 
 class Lateness:
-    """When this process's loop went on later than it was to; times are steady."""
+    """Periods in which this process's event loop was delayed; times are monotonic."""
 
     def __init__(self) -> None:
-        self._late: list[tuple[float, float]] = []
+        self._delays: list[tuple[float, float]] = []
 
     async def watch(self) -> None:
-        """Look at the clock until cancelled."""
+        """Record delays until cancelled."""
         while True:
-            due = time.monotonic() + LOOK_SECONDS
-            await asyncio.sleep(LOOK_SECONDS)
+            due = time.monotonic() + POLL_SECONDS
+            await asyncio.sleep(POLL_SECONDS)
             now = time.monotonic()
-            if now > due + LEAST_SECONDS:
-                self._late.append((due, now))
+            if now > due + MIN_DELAY_SECONDS:
+                self._delays.append((due, now))
 
     def sum_within(self, began: float, ended: float) -> float:
-        """Return for how many seconds of a time the loop was held up."""
-        parts = (min(end, ended) - max(due, began) for due, end in self._late)
+        """Return for how many seconds between two times the loop was delayed."""
+        parts = (min(end, ended) - max(due, began) for due, end in self._delays)
         return sum(part for part in parts if part > 0)
--- a/bench/gatewaysoak/links.py
+++ b/bench/gatewaysoak/links.py
@@ -1,49 +1,53 @@
-"""A loopback proxy that delays, silences and resets what passes."""
+"""A TCP proxy on loopback that injects faults: delays, silence and resets."""
 
 import asyncio
 import contextlib
 import enum
 
 READ_BYTES = 65_536
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
-class Trouble(enum.Enum):
-    """What a link does to its bytes."""
+class LinkFault(enum.Enum):
+    """What a link does to the bytes that it forwards.
+
+    `SILENT` holds back both directions, `ANSWERS_SILENT` only what the target sends.
+    """
 
     NONE = "none"
     SLOW = "slow"
     SILENT = "silent"
-    DEAF = "deaf"
+    ANSWERS_SILENT = "deaf"
 
 
-SLOW_SECONDS = 0.15
+# By which a slow link delays each piece of data.
+DELAY_SECONDS = 0.15
 
 
 class Link:
-    """A proxy to one address; `DEAF` silences the way back only."""
+    """A proxy to one address, in the form host:port."""
 
     def __init__(self, *, target: str) -> None:
-        self.trouble = Trouble.NONE
+        self.fault = LinkFault.NONE
         self.address = ""
         self._target = target
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free port; set `address`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and abort all connections."""
         self._server.close()
         self.reset()
         await self._server.wait_closed()
 
     def reset(self) -> None:
-        """Break all connections."""
+        """Abort all connections."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
@@ -52,31 +56,37 @@
     ) -> None:
         host, port = self._target.rsplit(":", 1)
         try:
-            there, back = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, back}
-        # Cancelled only at the end of a seed, when nobody waits for this.
+        self._writers |= {writer, target_writer}
+        # Cancelled only at the end of a seed, when nothing awaits this task.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(
-                self._pass(reader, back, {Trouble.SILENT}),
-                self._pass(there, writer, {Trouble.SILENT, Trouble.DEAF}),
+                self._forward(reader, target_writer, {LinkFault.SILENT}),
+                self._forward(
+                    target_reader,
+                    writer,
+                    {LinkFault.SILENT, LinkFault.ANSWERS_SILENT},
+                ),
             )
-        self._writers -= {writer, back}
+        self._writers -= {writer, target_writer}
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        held_in: set[Trouble],
+        blocking_faults: set[LinkFault],
     ) -> None:
         with contextlib.suppress(OSError, asyncio.CancelledError):
             while data := await reader.read(READ_BYTES):
-                while self.trouble in held_in:
-                    await asyncio.sleep(LOOK_SECONDS)
-                if self.trouble is Trouble.SLOW:
-                    await asyncio.sleep(SLOW_SECONDS)
+                while self.fault in blocking_faults:
+                    await asyncio.sleep(POLL_SECONDS)
+                if self.fault is LinkFault.SLOW:
+                    await asyncio.sleep(DELAY_SECONDS)
                 writer.write(data)
                 await writer.drain()
         writer.close()
--- a/bench/gatewaysoak/play.py
+++ b/bench/gatewaysoak/play.py
@@ -1,4 +1,4 @@
-"""One seed of the soak: processes, series of faults, and what must hold."""
+"""Plays one seed of the soak: starts processes, injects faults, checks the results."""
 
 import asyncio
 import collections
@@ -18,44 +18,50 @@
 from test.gateway.world import make_manifest
 from test.ports import find_port
 
-from .answers import Answers
+from .answers import AnswerCheck
 from .callers import Callers
-from .draining import DRAIN_SECONDS, SLACK_SECONDS, Leavers, Outage
+from .draining import DRAIN_SECONDS, SLACK_SECONDS, DrainTracker, Outage
 from .gateways import GatewayProcess
 from .lateness import Lateness
-from .links import Link, Trouble
-from .steps import Temper, make_script
+from .links import Link, LinkFault
+from .steps import Behaviour, make_script
 
 GATEWAYS = 3
-CALLERS_A_GATE = 6
-# More would wait for each other in this process instead of for the gates.
-MOST_CALLERS = 60
-GRACES_SECONDS = (5.0, 6.5, 8.0)
+CALLERS_PER_GATEWAY = 6
+# More callers would wait for each other in this process rather than for gateways.
+MAX_CALLERS = 60
+# Grace periods of the gateways; each seed draws one.
+GRACE_CHOICES_SECONDS = (5.0, 6.5, 8.0)
 RECOVERY_SECONDS = 12.0
-CALM_SECONDS = 1.0
+# How long a seed runs on without faults, beyond the bound for draining endpoints.
+FAULT_FREE_SECONDS = 1.0
 START_SECONDS = 10.0
-# In which a process loads on a machine that is overloaded; not a promise.
-MOST_START_SECONDS = 60.0
-START_LOOK_SECONDS = 0.2
-# A few gates of a series are told to stop within this time.
+# How long gateways may take to load on an overloaded machine; the product doesn't
+# guarantee this.
+MAX_START_SECONDS = 60.0
+START_POLL_SECONDS = 0.2
+# Within this time all gateways of a small fleet get SIGTERM, one after the other.
 SERIES_SECONDS = 2.5
-# So that many of them don't load their libraries at the same moment.
-LEAST_GAP_SECONDS = 0.1
-SERIES_IN_A_ROW = 3
+# Between two gateways' SIGTERM, so that many of them don't load their libraries at
+# the same time when they are started again.
+MIN_GAP_SECONDS = 0.1
+# How often one fault may stop all gateways.
+MAX_SERIES = 3
 
-# Pauses of gates that are stopping, and what the grace has left after them.
+# Pauses of stopping gateways, and the grace that remains after each.
 BETWEEN_PAUSES_SECONDS = (0.02, 0.2)
-LEAST_PAUSE_SECONDS = 0.2
-MOST_PAUSE_SECONDS = 1.2
-LAST_SECONDS = 0.3
+MIN_PAUSE_SECONDS = 0.2
+MAX_PAUSE_SECONDS = 1.2
+MIN_REMAINING_GRACE_SECONDS = 0.3
 
-# Endpoints' services, by the first letter of their names.
+# Services of the endpoints, by the first letter of their names.
 SERVICES = {"p": "plain", "m": "models"}
 
-# What is tried until all of it is served.
-NEEDED = {"/look/1", "/issue/1", "/chat/1"}
+# The soak waits until requests to all of these paths are served.
+REQUIRED_PATHS = {"/look/1", "/issue/1", "/chat/1"}
 
-# How often each hit is drawn.
+# How often each fault is drawn.  Each name is that of a method of `Soak` without its
+# leading underscore; the order and the weights determine what a seed plays.
 WEIGHTS = {
     "hit_gate": 4,
     "hit_link": 4,
@@ -65,63 +71,69 @@
     "hit_engine": 3,
     "hit_all_gates": 1,
 }
-PLANNED_WEIGHTS = WEIGHTS | {"hit_gate": 0, "hit_link": 1, "hit_all_gates": 4}
-PLANNED_SHARE = 0.6
+# The weights of seeds in which gateways aren't killed or paused, and the share of
+# such seeds.
+PLANNED_STOP_WEIGHTS = WEIGHTS | {"hit_gate": 0, "hit_link": 1, "hit_all_gates": 4}
+PLANNED_STOP_SHARE = 0.6
 
-# Statuses by which a gate says that a request surely hasn't run.
-NOT_RUN = {408, 421, 429, 503}
+# With these statuses a gateway states that it hasn't run the request.
+NOT_EXECUTED_STATUSES = {408, 421, 429, 503}
 
 
 class Verdict(msgspec.Struct, kw_only=True):
-    """What a seed came to."""
+    """The result of one seed.
+
+    `fault_counts` counts the injected faults by name, `late_outcomes` the requests
+    that were sent late in a stop, by outcome.
+    """
 
     seed: int
     faults: list[str]
-    asked: int
+    sent: int
     served: int
-    hits: dict[str, int]
-    answers: dict[str, int]
+    fault_counts: dict[str, int]
+    late_outcomes: dict[str, int]
 
 
 class Soak:
-    """The system of one seed."""
+    """The processes and stand-ins of one seed, and the faults injected into them."""
 
     def __init__(
         self, *, seed: int, seconds: float, folder: str, gateways: int, pauses: bool
     ) -> None:
         self.seed = seed
         self._pauses = pauses
-        self._gateways = gateways
+        self._gateway_count = gateways
         self._seconds = seconds
         self._folder = folder
-        # The faults have dice of their own, so that what callers draw, which
-        # depends on time, doesn't change the series of a seed.
-        self._dice = random.Random(f"faults of {seed}")
+        # The faults have a random generator of their own, because what callers draw
+        # depends on timing and would change the faults of a seed.
+        self._rng = random.Random(f"faults of {seed}")
         self._store = MetadataStore()
         self._engines: dict[str, DirectEngine] = {}
         self._addresses: dict[str, str] = {}
         self._links: list[Link] = []
-        # When links to endpoints were reset.
-        self._resets: list[float] = []
-        self._gates: list[GatewayProcess] = []
-        self._leavers = Leavers()
+        # Monotonic times at which links to endpoints were reset.
+        self._reset_times: list[float] = []
+        self._gateways: list[GatewayProcess] = []
+        self._drains = DrainTracker()
         self._numbers = itertools.count(3)
-        self._later: set[asyncio.Task] = set()
+        self._background: set[asyncio.Task] = set()
         self._versions = itertools.count(2)
-        self._hits: collections.Counter[str] = collections.Counter()
-        self._is_in_series = False
+        self._fault_counts: collections.Counter[str] = collections.Counter()
+        self._is_series_running = False
         self._lateness = Lateness()
 
     async def run(self) -> Verdict:
-        """Play the seed."""
+        """Play the seed and check its results."""
         watching = asyncio.ensure_future(self._lateness.watch())
         await self._start()
         callers = Callers(
-            dice=random.Random(self.seed),
-            addresses=lambda: [gate.listen for gate in self._gates],
+            rng=random.Random(self.seed),
+            addresses=lambda: [gateway.listen for gateway in self._gateways],
             lateness=self._lateness,
         )
-        count = min(len(self._gates) * CALLERS_A_GATE, MOST_CALLERS)
+        count = min(len(self._gateways) * CALLERS_PER_GATEWAY, MAX_CALLERS)
         tasks = [asyncio.ensure_future(callers.run()) for _ in range(count)]
         try:
             await self._wait_served(callers)
@@ -129,33 +141,34 @@
             await self._heal()
             await self._wait_started()
             recovered = await self._wait_served(callers)
-            # Calm for as long as the bounds, so that what holds only then shows.
-            await asyncio.sleep(DRAIN_SECONDS + SLACK_SECONDS + CALM_SECONDS)
+            # Without faults for longer than the bound, so that requests to draining
+            # endpoints are noticed.
+            await asyncio.sleep(DRAIN_SECONDS + SLACK_SECONDS + FAULT_FREE_SECONDS)
         finally:
-            callers.is_over = True
+            callers.is_stopping = True
             await asyncio.gather(*tasks)
             await self._stop()
             watching.cancel()
         engines = self._engines.values()
         broken = dict(pair for one in engines for pair in one.broken.items())
-        answers = Answers(
-            told=callers.told,
-            gates=self._gates,
+        answers = AnswerCheck(
+            results=callers.results,
+            gateways=self._gateways,
             broken=broken,
-            resets=self._resets,
+            resets=self._reset_times,
             lateness=self._lateness,
         )
         faults = self._check(callers) + answers.list_faults()
         if not recovered:
             faults.append("nothing was served after all faults were over")
-        served = sum(told.status == 200 for told in callers.told)
+        served = sum(result.status == 200 for result in callers.results)
         return Verdict(
             seed=self.seed,
             faults=faults,
-            asked=len(callers.told),
+            sent=len(callers.results),
             served=served,
-            hits=dict(self._hits),
-            answers=dict(answers.counts),
+            fault_counts=dict(self._fault_counts),
+            late_outcomes=dict(answers.counts),
         )
 
     async def _start(self) -> None:
@@ -170,8 +183,8 @@
         await store.start()
         self._links.append(store)
         news_port = find_port()
-        grace = self._dice.choice(GRACES_SECONDS)
-        self._gates = [
+        grace = self._rng.choice(GRACE_CHOICES_SECONDS)
+        self._gateways = [
             GatewayProcess(
                 number=number,
                 news_port=news_port,
@@ -179,14 +192,16 @@
                 folder=self._folder,
                 grace=grace,
             )
-            for number in range(1, self._gateways + 1)
+            for number in range(1, self._gateway_count + 1)
         ]
-        for gate in self._gates:
-            gate.start()
+        for gateway in self._gateways:
+            gateway.start()
 
     async def _add_engine(self, name: str) -> None:
-        temper = self._dice.choice([Temper.STEADY, Temper.STEADY, Temper.MIXED])
-        script = make_script(name[0], temper, self._dice)
+        behaviour = self._rng.choice(
+            [Behaviour.STEADY, Behaviour.STEADY, Behaviour.MIXED]
+        )
+        script = make_script(name[0], behaviour, self._rng)
         engine = DirectEngine(name=name, script=script)
         await engine.start()
         link = Link(target=engine.address)
@@ -194,9 +209,9 @@
         self._links.append(link)
         self._engines[name] = engine
         self._addresses[name] = link.address
-        self._list_engine(name, state="ready")
+        self._store_endpoint(name, state="ready")
 
-    def _list_engine(self, name: str, *, state: str) -> None:
+    def _store_endpoint(self, name: str, *, state: str) -> None:
         entry = {
             "service": SERVICES[name[0]],
             "address": self._addresses[name],
@@ -211,170 +226,176 @@
     async def _disturb(self) -> None:
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + self._seconds
-        # In some seeds gates end by planned stops only, so that nothing excuses
-        # a request that isn't answered.
-        is_planned = self._dice.random() < PLANNED_SHARE
-        weights = PLANNED_WEIGHTS if is_planned else WEIGHTS
+        # In some seeds gateways end by SIGTERM only, so that no kill or pause
+        # excuses a request that isn't answered.
+        stops_only = self._rng.random() < PLANNED_STOP_SHARE
+        weights = PLANNED_STOP_WEIGHTS if stops_only else WEIGHTS
         if self._pauses:
-            self._keep(asyncio.ensure_future(self._hold_up_stops(ends_at)))
+            self._track(asyncio.ensure_future(self._pause_stopping(ends_at)))
         while loop.time() < ends_at:
-            (name,) = self._dice.choices([*weights], weights=weights.values())
-            self._hits[name] += 1
+            (name,) = self._rng.choices([*weights], weights=weights.values())
+            self._fault_counts[name] += 1
             getattr(self, f"_{name}")()
-            await asyncio.sleep(self._dice.uniform(0.05, 0.7))
+            await asyncio.sleep(self._rng.uniform(0.05, 0.7))
 
     def _hit_gate(self) -> None:
-        gate = self._dice.choice(self._gates)
-        outage = self._leavers.begin_outage()
-        match self._dice.choice(["kill", "stop", "pause"]):
+        gateway = self._rng.choice(self._gateways)
+        outage = self._drains.begin_outage()
+        match self._rng.choice(["kill", "stop", "pause"]):
             case "kill":
-                gate.kill()
-                self._after(self._dice.uniform(0.2, 1.5), gate.start, outage)
+                gateway.kill()
+                self._run_later(self._rng.uniform(0.2, 1.5), gateway.start, outage)
             case "stop":
-                self._keep(asyncio.ensure_future(_stop_all([gate], 0.0, outage)))
+                self._track(asyncio.ensure_future(_stop_all([gateway], 0.0, outage)))
             case "pause":
-                gate.pause()
-                self._after(self._dice.uniform(0.2, 2.5), gate.wake, outage)
+                gateway.pause()
+                self._run_later(self._rng.uniform(0.2, 2.5), gateway.resume, outage)
 
-    async def _hold_up_stops(self, ends_at: float) -> None:
-        """Pause gates that are stopping for a moment, which excuses nothing."""
-        # Of their own, so that a seed's other faults stay the same.
-        dice = random.Random(f"pauses of {self.seed}")
+    async def _pause_stopping(self, ends_at: float) -> None:
+        """Pause stopping gateways for a moment, which excuses no missing answer."""
+        # A generator of its own, so that the seed's other faults stay the same.
+        rng = random.Random(f"pauses of {self.seed}")
         while asyncio.get_running_loop().time() < ends_at:
-            await asyncio.sleep(dice.uniform(*BETWEEN_PAUSES_SECONDS))
-            gate = dice.choice(self._gates)
-            longest = min(gate.grace_left - LAST_SECONDS, MOST_PAUSE_SECONDS)
-            if longest < LEAST_PAUSE_SECONDS:
+            await asyncio.sleep(rng.uniform(*BETWEEN_PAUSES_SECONDS))
+            gateway = rng.choice(self._gateways)
+            longest = min(
+                gateway.remaining_grace - MIN_REMAINING_GRACE_SECONDS, MAX_PAUSE_SECONDS
+            )
+            if longest < MIN_PAUSE_SECONDS:
                 continue
-            gate.send(signal.SIGSTOP)
-            await asyncio.sleep(dice.uniform(LEAST_PAUSE_SECONDS, longest))
-            gate.send(signal.SIGCONT)
-            self._hits["stop held up"] += 1
+            gateway.send(signal.SIGSTOP)
+            await asyncio.sleep(rng.uniform(MIN_PAUSE_SECONDS, longest))
+            gateway.send(signal.SIGCONT)
+            self._fault_counts["stop held up"] += 1
 
     def _hit_all_gates(self) -> None:
-        """Stop all gates one soon after the other, perhaps several times."""
-        if self._is_in_series:
+        """Stop all gateways shortly after one another, perhaps several times."""
+        if self._is_series_running:
             return
-        self._is_in_series = True
-        series = self._stop_in_series(self._dice.randint(1, SERIES_IN_A_ROW))
-        self._keep(asyncio.ensure_future(series))
-
-    async def _stop_in_series(self, count: int) -> None:
-        # Other faults draw meanwhile, at times that depend on the machine.
-        dice = random.Random(self._dice.random())
+        self._is_series_running = True
+        series = self._stop_all_repeatedly(self._rng.randint(1, MAX_SERIES))
+        self._track(asyncio.ensure_future(series))
+
+    async def _stop_all_repeatedly(self, count: int) -> None:
+        # Has a generator of its own because other faults draw from the shared one
+        # meanwhile, at times that depend on the machine.
+        rng = random.Random(self._rng.random())
         for _ in range(count):
-            gates = dice.sample(self._gates, len(self._gates))
-            within = dice.uniform(0.1, SERIES_SECONDS)
-            gap = max(within / len(gates), LEAST_GAP_SECONDS)
-            await _stop_all(gates, gap, self._leavers.begin_outage())
-            self._hits["series"] += 1
-            await asyncio.sleep(dice.uniform(0.0, 2.0))
-        self._is_in_series = False
+            gateways = rng.sample(self._gateways, len(self._gateways))
+            within = rng.uniform(0.1, SERIES_SECONDS)
+            gap = max(within / len(gateways), MIN_GAP_SECONDS)
+            await _stop_all(gateways, gap, self._drains.begin_outage())
+            self._fault_counts["series"] += 1
+            await asyncio.sleep(rng.uniform(0.0, 2.0))
+        self._is_series_running = False
 
     def _hit_engine(self) -> None:
-        """Have an endpoint do its work badly for a while."""
-        name = self._dice.choice(sorted(self._engines))
+        """Change the behaviour of an endpoint for a while."""
+        name = self._rng.choice(sorted(self._engines))
         engine = self._engines[name]
-        temper = self._dice.choice(list(Temper))
-        engine.play(*make_script(name[0], temper, self._dice))
-        steady = make_script(name[0], Temper.STEADY, self._dice)
-        self._after(self._dice.uniform(0.5, 6.0), lambda: engine.play(*steady))
+        behaviour = self._rng.choice(list(Behaviour))
+        engine.play(*make_script(name[0], behaviour, self._rng))
+        steady = make_script(name[0], Behaviour.STEADY, self._rng)
+        self._run_later(self._rng.uniform(0.5, 6.0), lambda: engine.play(*steady))
 
     def _hit_link(self) -> None:
-        link = self._dice.choice(self._links)
-        kind = self._dice.choice([*Trouble, "reset"])
+        link = self._rng.choice(self._links)
+        kind = self._rng.choice([*LinkFault, "reset"])
         if kind == "reset":
             if link.address in self._addresses.values():
-                self._resets.append(time.monotonic())
+                self._reset_times.append(time.monotonic())
             link.reset()
             return
-        link.trouble = kind
-        # Also a link to an endpoint: what it holds up arrives when it heals.
-        self._after(
-            self._dice.uniform(0.2, 2.5),
-            lambda: setattr(link, "trouble", Trouble.NONE),
-            self._leavers.begin_outage(),
+        link.fault = kind
+        # Also for a link to an endpoint: the requests that it holds back arrive when
+        # the fault ends.
+        self._run_later(
+            self._rng.uniform(0.2, 2.5),
+            lambda: setattr(link, "fault", LinkFault.NONE),
+            self._drains.begin_outage(),
         )
 
     def _hit_store(self) -> None:
-        self._store.fault = self._dice.choice(list(Fault))
-        if self._dice.random() < 0.5:
+        self._store.fault = self._rng.choice(list(Fault))
+        if self._rng.random() < 0.5:
             self._store.forget_history()
-        self._after(
-            self._dice.uniform(0.3, 2.5),
+        self._run_later(
+            self._rng.uniform(0.3, 2.5),
             lambda: setattr(self._store, "fault", Fault.NONE),
-            self._leavers.begin_outage(),
+            self._drains.begin_outage(),
         )
 
     def _replace(self) -> None:
-        """Have an endpoint leave, and bring in another of its service."""
-        staying = sorted(self._engines.keys() - self._leavers.names)
-        name = self._dice.choice(staying)
+        """Drain an endpoint and add another one of the same service."""
+        staying = sorted(self._engines.keys() - self._drains.names)
+        name = self._rng.choice(staying)
         number = next(self._numbers)
-        self._list_engine(name, state="draining")
-        self._leavers.note_left(name)
+        self._store_endpoint(name, state="draining")
+        self._drains.note_draining(name)
         adding = self._add_engine(f"{name[0]}{number}")
-        self._keep(asyncio.ensure_future(adding))
+        self._track(asyncio.ensure_future(adding))
 
     def _configure(self) -> None:
         manifest = make_manifest(version=next(self._versions))
         self._store.put(kind=Kinds.CONFIGURATION, name="main", spec=manifest)
 
-    def _after(
-        self, seconds: float, do: Callable[[], None], outage: Outage | None = None
+    def _run_later(
+        self, seconds: float, action: Callable[[], None], outage: Outage | None = None
     ) -> None:
-        """Do something later; then the outage, if any, is over."""
+        """Run an action after some seconds and then end the outage, if any."""
 
         async def wait() -> None:
             await asyncio.sleep(seconds)
-            do()
+            action()
             if outage is not None:
                 outage.ended = time.monotonic()
 
-        self._keep(asyncio.ensure_future(wait()))
+        self._track(asyncio.ensure_future(wait()))
 
-    def _keep(self, task: asyncio.Future) -> None:
-        self._later.add(task)
-        task.add_done_callback(self._later.discard)
+    def _track(self, task: asyncio.Future) -> None:
+        self._background.add(task)
+        task.add_done_callback(self._background.discard)
 
     async def _heal(self) -> None:
-        await asyncio.gather(*self._later)
+        await asyncio.gather(*self._background)
         self._store.fault = Fault.NONE
         for link in self._links:
-            link.trouble = Trouble.NONE
+            link.fault = LinkFault.NONE
         for name, engine in self._engines.items():
-            engine.play(*make_script(name[0], Temper.STEADY, self._dice))
-        for gate in self._gates:
-            gate.wake()
-            gate.start()
+            engine.play(*make_script(name[0], Behaviour.STEADY, self._rng))
+        for gateway in self._gateways:
+            gateway.resume()
+            gateway.start()
 
     async def _wait_started(self) -> None:
-        """Wait until all gates have loaded, so that only recovery is timed."""
+        """Wait until all gateways have loaded, so that only recovery is timed."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(MOST_START_SECONDS):
-                while not all(gate.has_started for gate in self._gates):
-                    await asyncio.sleep(START_LOOK_SECONDS)
+            async with asyncio.timeout(MAX_START_SECONDS):
+                while not all(gateway.has_started for gateway in self._gateways):
+                    await asyncio.sleep(START_POLL_SECONDS)
 
     async def _wait_served(self, callers: Callers) -> bool:
-        """Wait until requests of all kinds are served; tell whether they are."""
-        before = len(callers.told)
+        """Wait until all `REQUIRED_PATHS` are served; return whether they are."""
+        before = len(callers.results)
         try:
             async with asyncio.timeout(START_SECONDS + RECOVERY_SECONDS):
                 while True:
                     await asyncio.sleep(0.05)
                     good = {
-                        one.path for one in callers.told[before:] if one.status == 200
+                        one.path
+                        for one in callers.results[before:]
+                        if one.status == 200
                     }
-                    if good >= NEEDED:
+                    if good >= REQUIRED_PATHS:
                         return True
         except TimeoutError:
             return False
 
     async def _stop(self) -> None:
-        for task in tuple(self._later):
+        for task in tuple(self._background):
             task.cancel()
-        for gate in self._gates:
-            gate.close()
+        for gateway in self._gateways:
+            gateway.close()
         for link in self._links:
             await link.stop()
         for engine in self._engines.values():
@@ -386,32 +407,36 @@
             run.attempt for engine in self._engines.values() for run in engine.runs
         )
         faults = [
-            f"{told.attempt}: {told.fault}" for told in callers.told if told.fault
+            f"{result.attempt}: {result.fault}"
+            for result in callers.results
+            if result.fault
         ]
-        for told in callers.told:
-            count = runs[told.attempt]
-            if count > 1 and told.path == "/issue/1":
-                faults.append(f"{told.attempt} ran {count} times")
-            if count and told.status in NOT_RUN:
-                faults.append(f"{told.attempt} was refused with {told.status} and ran")
+        for result in callers.results:
+            count = runs[result.attempt]
+            if count > 1 and result.path == "/issue/1":
+                faults.append(f"{result.attempt} ran {count} times")
+            if count and result.status in NOT_EXECUTED_STATUSES:
+                faults.append(
+                    f"{result.attempt} was refused with {result.status} and ran"
+                )
         times = {
             name: [run.at for run in engine.runs]
             for name, engine in self._engines.items()
         }
-        faults += self._leavers.list_late(times)
-        asked = {told.attempt for told in callers.told}
-        faults += [f"{one} was asked by nobody" for one in runs.keys() - asked]
+        faults += self._drains.list_late(times)
+        sent_attempts = {result.attempt for result in callers.results}
+        faults += [f"{one} was asked by nobody" for one in runs.keys() - sent_attempts]
         return faults
 
 
-async def _stop_all(gates: list[GatewayProcess], gap: float, outage: Outage) -> None:
-    """Stop gates, each so many seconds after the one before."""
+async def _stop_all(gateways: list[GatewayProcess], gap: float, outage: Outage) -> None:
+    """Stop gateways, each `gap` seconds after the previous one."""
 
-    async def stop(gate: GatewayProcess, after: float) -> None:
+    async def stop(gateway: GatewayProcess, after: float) -> None:
         await asyncio.sleep(after)
-        await gate.stop()
+        await gateway.stop()
 
-    stops = (stop(gate, gap * number) for number, gate in enumerate(gates))
+    stops = (stop(gateway, gap * number) for number, gateway in enumerate(gateways))
     await asyncio.gather(*stops)
     outage.ended = time.monotonic()
 
@@ -424,9 +449,9 @@
     *,
     pauses: bool = False,
 ) -> Verdict:
-    """Play one seed for so many seconds of faults; logs go to the folder.
+    """Play one seed, with `seconds` of faults; write the logs to `folder`.
 
-    `pauses` adds moments in which gates that are stopping can't go on.
+    `pauses` adds short pauses of gateways that are stopping.
     """
     with tempfile.TemporaryDirectory() as made:
         soak = Soak(
--- a/bench/gatewaysoak/steps.py
+++ b/bench/gatewaysoak/steps.py
@@ -1,4 +1,4 @@
-"""What endpoints do with requests, at random."""
+"""Draws at random what an endpoint does with each request."""
 
 import enum
 import random
@@ -6,16 +6,18 @@
 
 from eelgrassrack.standins.directengine import Break, Echo, Events, Hang, Reply, Step
 
+# Events of each stream, and the gap between them.
 EVENTS = 6
 GAP_SECONDS = 0.03
 DELAY_SECONDS = 0.02
-# How many steps are drawn ahead; the last, a steady one, goes on for ever.
-STEPS = 300
+# Steps drawn in advance.  A steady step follows them and is repeated for ever.
+RANDOM_STEPS = 300
+# In percent; a gateway escalates a request with such an answer to another model.
 LOW_CONFIDENCE = 5
 
 
-class Temper(enum.Enum):
-    """How an endpoint does its work."""
+class Behaviour(enum.Enum):
+    """How an endpoint answers requests."""
 
     STEADY = "steady"
     SLOW = "slow"
@@ -26,64 +28,67 @@
     MIXED = "mixed"
 
 
-# The others, as often as a mixed endpoint shows them.
-SHARES = {
-    Temper.STEADY: 10,
-    Temper.SLOW: 2,
-    Temper.STALLING: 2,
-    Temper.SILENT: 1,
-    Temper.BREAKING: 1,
-    Temper.UNSURE: 2,
+# How often a mixed endpoint shows each of the other behaviours.
+MIXED_WEIGHTS = {
+    Behaviour.STEADY: 10,
+    Behaviour.SLOW: 2,
+    Behaviour.STALLING: 2,
+    Behaviour.SILENT: 1,
+    Behaviour.BREAKING: 1,
+    Behaviour.UNSURE: 2,
 }
 
 
-def make_script(letter: str, temper: Temper, dice: random.Random) -> list[Step]:
-    """Return the steps of an endpoint, by the first letter of its name."""
+def make_script(letter: str, behaviour: Behaviour, rng: random.Random) -> list[Step]:
+    """Return the steps of an endpoint; `letter` is the first of its name."""
     make = MAKERS[letter]
-    if temper is Temper.STEADY:
-        return [make(temper, dice)]
-    tempers = [temper] * STEPS
-    if temper is Temper.MIXED:
-        tempers = dice.choices([*SHARES], weights=SHARES.values(), k=STEPS)
-    return [make(one, dice) for one in tempers] + [make(Temper.STEADY, dice)]
-
-
-def _make_stream(temper: Temper, dice: random.Random) -> Step:
-    match temper:
-        case Temper.SLOW:
-            return Events(count=EVENTS, gap=dice.uniform(0.3, 1.4))
-        case Temper.STALLING:
+    if behaviour is Behaviour.STEADY:
+        return [make(behaviour, rng)]
+    behaviours = [behaviour] * RANDOM_STEPS
+    if behaviour is Behaviour.MIXED:
+        behaviours = rng.choices(
+            [*MIXED_WEIGHTS], weights=MIXED_WEIGHTS.values(), k=RANDOM_STEPS
+        )
+    return [make(one, rng) for one in behaviours] + [make(Behaviour.STEADY, rng)]
+
+
+def _make_stream(behaviour: Behaviour, rng: random.Random) -> Step:
+    match behaviour:
+        case Behaviour.SLOW:
+            return Events(count=EVENTS, gap=rng.uniform(0.3, 1.4))
+        case Behaviour.STALLING:
             return Events(
                 count=EVENTS,
                 gap=GAP_SECONDS,
-                pauses_after=dice.randrange(1, EVENTS),
-                pause=dice.uniform(0.5, 6.0),
+                pauses_after=rng.randrange(1, EVENTS),
+                pause=rng.uniform(0.5, 6.0),
             )
-        case Temper.SILENT:
+        case Behaviour.SILENT:
             return Hang()
-        case Temper.BREAKING:
+        case Behaviour.BREAKING:
             return Events(
-                count=EVENTS, gap=GAP_SECONDS, breaks_after=dice.randrange(EVENTS)
+                count=EVENTS, gap=GAP_SECONDS, breaks_after=rng.randrange(EVENTS)
             )
-        case Temper.UNSURE:
+        case Behaviour.UNSURE:
             return Events(count=EVENTS, gap=GAP_SECONDS, confidence=LOW_CONFIDENCE)
         case _:
             return Events(count=EVENTS, gap=GAP_SECONDS)
 
 
-def _make_echo(temper: Temper, dice: random.Random) -> Step:
-    match temper:
-        case Temper.SLOW | Temper.STALLING:
-            return Echo(delay=dice.uniform(0.2, 4.0))
-        case Temper.SILENT:
+def _make_echo(behaviour: Behaviour, rng: random.Random) -> Step:
+    match behaviour:
+        case Behaviour.SLOW | Behaviour.STALLING:
+            return Echo(delay=rng.uniform(0.2, 4.0))
+        case Behaviour.SILENT:
             return Hang()
-        case Temper.BREAKING:
-            return dice.choice([Break(), Reply(status=500)])
+        case Behaviour.BREAKING:
+            return rng.choice([Break(), Reply(status=500)])
         case _:
             return Echo(delay=DELAY_SECONDS)
 
 
-MAKERS: dict[str, Callable[[Temper, random.Random], Step]] = {
+# By the first letter of an endpoint's name, as in `play.SERVICES`.
+MAKERS: dict[str, Callable[[Behaviour, random.Random], Step]] = {
     "p": _make_echo,
     "m": _make_stream,
 }
