--- a/bench/live/__init__.py
+++ b/bench/live/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios through the real entry and agent processes."""
+"""Load scenarios played against real entry and agent processes."""
--- a/bench/live/__main__.py
+++ b/bench/live/__main__.py
@@ -1,4 +1,4 @@
-"""Run scenarios: `python -m bench.live [--runs N] [burst|hot|domain|tool...]`."""
+"""Play load scenarios: `python -m bench.live [--runs N] [burst|hot|domain|tool...]`."""
 
 import argparse
 import os
@@ -19,22 +19,23 @@
 
 
 def main() -> None:
-    """Read the arguments, play the scenarios in turn and print medians."""
+    """Play the chosen scenarios in turn and print the medians of all runs."""
     names = (*SCENARIOS, TOOL)
     parser = argparse.ArgumentParser(prog="python -m bench.live", description=__doc__)
-    parser.add_argument("names", nargs="*", help=f"of {', '.join(names)}")
+    parser.add_argument("names", nargs="*", help=f"from {', '.join(names)}")
     parser.add_argument("--runs", type=int, default=DEFAULT_RUNS)
-    parser.add_argument("--markdown", action="store_true", help="print for a page")
+    parser.add_argument("--markdown", action="store_true", help="print Markdown")
     options = parser.parse_args()
     unknown = set(options.names) - set(names)
     if unknown:
         parser.error(f"no scenario named {', '.join(sorted(unknown))}")
     chosen = options.names or SCENARIOS
     variants = [variant for variant in VARIANTS if variant.scenario in chosen]
-    # Ended from outside, it must still end the processes that it started.
+    # SIGTERM must also end the processes that this one started.
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(1))
     before = os.getloadavg()[0]
-    # Run by run, so that a busy spell of the machine doesn't fall on one way.
+    # Each round plays all variants, so that a time when the machine is busy doesn't
+    # affect the runs of one variant only.
     rounds = [[play(variant) for variant in variants] for _ in range(options.runs)]
     runs = list(zip(variants, map(list, zip(*rounds, strict=True)), strict=True))
     tables = list_tables(runs)
@@ -51,7 +52,7 @@
 
 
 def print_tables(tables: list[Table], *, markdown: bool) -> None:
-    """Print tables for people or for a page."""
+    """Print tables for the terminal or as Markdown."""
     console = Console(width=WIDTH)
     for table in tables:
         if markdown:
--- a/bench/live/figures.py
+++ b/bench/live/figures.py
@@ -1,4 +1,4 @@
-"""The figures of one played variant, and their medians over runs."""
+"""Tables of the medians over all runs of each variant."""
 
 import statistics
 from collections.abc import Callable, Iterable
@@ -6,7 +6,7 @@
 from eelgrassrack.load.report import Row
 
 from ..tables import Table
-from .play import Played
+from .play import VariantResult
 from .variants import SCENARIOS, Variant
 
 NOTHING = "-"
@@ -27,8 +27,11 @@
 )
 
 
-def list_tables(runs: list[tuple[Variant, list[Played]]]) -> list[Table]:
-    """Return a table for each scenario that was played."""
+def list_tables(runs: list[tuple[Variant, list[VariantResult]]]) -> list[Table]:
+    """Return a table for each scenario that was played.
+
+    `runs` pairs each variant with the results of its runs.
+    """
     tables = []
     for scenario in SCENARIOS:
         rows = [
@@ -42,29 +45,32 @@
     return tables
 
 
-def describe_changes(played: Iterable[Played]) -> str:
-    """Return in one line what became of the domain that was taken out."""
+def describe_changes(played: Iterable[VariantResult]) -> str:
+    """Return one line on how a failure domain was taken out and brought back.
+
+    Return an empty string if none was.
+    """
     changes = [one.change for one in played if one.change is not None]
     if not changes:
         return ""
     idle = _median(change.idle_after for change in changes)
     busy = _median(change.busy_after for change in changes)
-    stray = sum(change.stray for change in changes)
+    busy_polls = sum(change.busy_polls for change in changes)
     return (
         f"domain: last request gone {idle} s after `domain out` was called, "
         f"first one back {busy} s after `domain in`, "
-        f"seen busy in between {stray} times"
+        f"seen busy in between {busy_polls} times"
     )
 
 
-def describe_tool(played: list[Played]) -> str:
-    """Return in one line what the load tool itself spent at most."""
+def describe_tool(played: list[VariantResult]) -> str:
+    """Return one line on the most CPU and lateness of the load tool in any run."""
     cpu = max(one.report.totals.cpu_share for one in played)
     lag = max(one.report.lag.p99 or 0.0 for one in played)
     return f"load tool: at most {cpu:.0%} of a core, {lag:.1f} ms late at p99"
 
 
-def _list_rows(variant: Variant, played: list[Played]) -> list[list[str]]:
+def _list_rows(variant: Variant, played: list[VariantResult]) -> list[list[str]]:
     by_kind = zip(*(one.report.rows for one in played), strict=True)
     return [
         [variant.name, *_list_figures(rows)] for rows in by_kind if rows[0].requests
--- a/bench/live/fleet.py
+++ b/bench/live/fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of real processes: platform, engines, agents and entries.
+"""Runs a fleet of real processes: platform stand-ins, engines, agents and entries.
 
-Each is ended by its own id, also when a run fails.
+All of them are ended, each by its process id, even when a run fails.
 """
 
 import os
@@ -22,7 +22,7 @@
 ENVIRONMENT = {**os.environ, "EELGRASSRACK_STRICT": "1"}
 
 DOMAINS = ("east", "west", "north")
-ENGINES_A_DOMAIN = 2
+ENGINES_PER_DOMAIN = 2
 SLOTS = 8
 SPEED = 50
 VERSION = "tutor/1"
@@ -30,7 +30,11 @@
 
 
 class Process:
-    """One process of the fleet."""
+    """One process of the fleet.
+
+    The process prints `lines` lines when it is ready, each a name and a URL; `urls`
+    holds them.
+    """
 
     def __init__(self, *arguments: str, log: Path, lines: int = 0) -> None:
         with log.open("ab") as errors:
@@ -46,17 +50,20 @@
         self.urls = {word[0]: word[1] for word in words}
 
     def wait(self, seconds: float) -> tuple[int, str]:
-        """Return its exit status and what it printed."""
+        """Wait for the process to end; return its exit status and output.
+
+        Raise `subprocess.TimeoutExpired` after `seconds`.
+        """
         output, _ = self._popen.communicate(timeout=seconds)
         return self._popen.returncode, output
 
     def terminate(self) -> None:
-        """Ask it to end."""
+        """Send SIGTERM if the process still runs."""
         if self._popen.poll() is None:
             self._popen.terminate()
 
     def close(self) -> None:
-        """See that it has ended."""
+        """Wait for the process to end, and kill it after `END_SECONDS`."""
         try:
             self._popen.communicate(timeout=END_SECONDS)
         except subprocess.TimeoutExpired:
@@ -65,7 +72,7 @@
 
 
 class Fleet:
-    """Three failure domains with two engines each behind two entries."""
+    """Two entries in front of three failure domains with two engines each."""
 
     def __init__(self, *, directory: Path, document: str) -> None:
         self._directory = directory
@@ -78,7 +85,7 @@
         self._rating_url = ""
 
     def __enter__(self) -> "Fleet":
-        """Start everything and wait until all entries know all agents."""
+        """Start everything and wait until both entries know all agents."""
         try:
             self._start()
         except BaseException:
@@ -99,14 +106,17 @@
         self._processes.clear()
 
     def start(self, *arguments: str, lines: int = 0) -> Process:
-        """Start a process that ends with the fleet."""
+        """Start a process that is ended with the fleet."""
         log = self._directory / "processes.log"
         process = Process(*arguments, log=log, lines=lines)
         self._processes.append(process)
         return process
 
     def run(self, *arguments: str) -> str:
-        """Run an operator's command to its end and return what it printed."""
+        """Run an operator's command and return its output.
+
+        Raise `RuntimeError` if the command fails.
+        """
         process = self.start("eelgrassrack", *arguments, "--objects", self.objects_url)
         status, output = process.wait(READY_SECONDS)
         if status:
@@ -114,7 +124,7 @@
         return output
 
     def fetch_status(self) -> EntryStatus:
-        """Return what the first entry knows."""
+        """Return the status of the first entry."""
         with urllib.request.urlopen(f"{self.entry_urls[0]}/status", timeout=5) as found:
             return msgspec.json.decode(found.read(), type=EntryStatus)
 
@@ -127,7 +137,7 @@
         path.write_text(self._document)
         self.run("apply", str(path), "--section", "*", "--as", TEAM)
         for domain in DOMAINS:
-            for number in range(ENGINES_A_DOMAIN):
+            for number in range(ENGINES_PER_DOMAIN):
                 self._start_endpoint(f"tutor-{domain}-{number}", domain)
         for number in range(2):
             self._start_entry(f"entry-{number}")
--- a/bench/live/play.py
+++ b/bench/live/play.py
@@ -1,4 +1,4 @@
-"""One variant played: the fleet, the load tool and the operator's commands."""
+"""Plays one variant: starts the fleet, the load tool and the operator's commands."""
 
 import tempfile
 import time
@@ -19,60 +19,64 @@
     build_warm_up,
 )
 
-# The load tool reads its plan and starts before its first request leaves.
 POLL_SECONDS = 0.1
+# Longest run of the load tool, which also takes time to start and read its plan.
 LOAD_SECONDS = 60.0
+# How long the agents' windows may take to open after the warm-up.
 WARM_SECONDS = 5.0
 
 
 class Change(msgspec.Struct, kw_only=True):
-    """What became of the domain that was taken out and brought back.
+    """How a failure domain was taken out and brought back.
 
-    `idle_after` is how many seconds after `domain out` was called the
-    last request had left it, `busy_after` how many after `domain in` it
-    had a request again, and `stray` how often it was seen busy between.
+    `idle_after` is the seconds from the call of `domain out` until the domain had no
+    requests, `busy_after` those from `domain in` until it had one again.
+    `busy_polls` counts the polls in between that found it busy.
     """
 
     idle_after: float | None = None
     busy_after: float | None = None
-    stray: int = 0
+    busy_polls: int = 0
 
 
-class Played(msgspec.Struct, kw_only=True, frozen=True):
-    """What callers received, and what became of the domain."""
+class VariantResult(msgspec.Struct, kw_only=True, frozen=True):
+    """The load tool's report, and how the failure domain was changed, if it was."""
 
     report: Report
     change: Change | None = None
 
 
-def play(variant: Variant) -> Played:
-    """Play a variant on a fleet of its own."""
+def play(variant: Variant) -> VariantResult:
+    """Play a variant on a new fleet.
+
+    Raise `RuntimeError` if the load tool fails or an invariant was violated.
+    """
     with (
-        tempfile.TemporaryDirectory() as place,
-        Fleet(directory=Path(place), document=build_document()) as fleet,
+        tempfile.TemporaryDirectory() as directory,
+        Fleet(directory=Path(directory), document=build_document()) as fleet,
     ):
-        warm_up(fleet, Path(place))
-        plan = Path(place) / "plan.ini"
+        warm_up(fleet, Path(directory))
+        plan = Path(directory) / "plan.ini"
         plan.write_text(build_plan(variant))
-        urls = fleet.engine_urls if variant.straight else fleet.entry_urls
+        urls = fleet.engine_urls if variant.bypasses_router else fleet.entry_urls
         entries = [option for url in urls for option in ("--entry", url)]
         load = fleet.start("eelgrassrack", "load", str(plan), "--json", *entries)
         change = take_out(fleet) if variant.is_taken_out else None
         status, output = load.wait(LOAD_SECONDS)
         if status:
             raise RuntimeError(f"load ended with {status}: {output}")
-        check_promises(fleet)
+        check_invariants(fleet)
         report = msgspec.json.decode(output, type=Report)
-        return Played(report=report, change=change)
+        return VariantResult(report=report, change=change)
 
 
-def warm_up(fleet: Fleet, place: Path) -> None:
-    """Work until the agents' windows are open.
+def warm_up(fleet: Fleet, directory: Path) -> None:
+    """Send requests until the agents' windows are fully open.
 
-    An agent that is new takes its engine for cold, and the first seconds
-    of the figures would show that rather than the scenario.
+    A new agent treats its engine as cold, which would distort the first seconds of
+    the scenario.  Raise `TimeoutError` if the windows stay small.
     """
-    plan = place / "warm-up.ini"
+    plan = directory / "warm-up.ini"
     plan.write_text(build_warm_up())
     entries = [option for url in fleet.entry_urls for option in ("--entry", url)]
     fleet.start("eelgrassrack", "load", str(plan), "--json", *entries).wait(
@@ -88,7 +92,7 @@
 
 
 def take_out(fleet: Fleet) -> Change:
-    """Take a domain out and back in, and watch its endpoints."""
+    """Take a failure domain out and back in, and poll its endpoints meanwhile."""
     change = Change()
     time.sleep(OUT_AT)
     out_at = time.monotonic()
@@ -98,7 +102,7 @@
         if not busy and change.idle_after is None:
             change.idle_after = passed
         if busy and change.idle_after is not None:
-            change.stray += 1
+            change.busy_polls += 1
         time.sleep(POLL_SECONDS)
     in_at = time.monotonic()
     fleet.run("domain", "in", DOMAIN_OUT, "--as", TEAM)
@@ -111,7 +115,7 @@
 
 
 def is_busy(fleet: Fleet) -> bool:
-    """Tell whether an endpoint of the domain runs or holds a request."""
+    """Return whether an endpoint of the domain is running or queueing a request."""
     return any(
         endpoint.running or endpoint.queued
         for endpoint in fleet.fetch_status().endpoints
@@ -119,8 +123,8 @@
     )
 
 
-def check_promises(fleet: Fleet) -> None:
-    """Fail the measurement if an entry saw a promise broken."""
+def check_invariants(fleet: Fleet) -> None:
+    """Raise `RuntimeError` if the first entry has seen a violated invariant."""
     broken = fleet.fetch_status().broken_promises
     if broken:
         raise RuntimeError(f"promises were broken: {broken}")
--- a/bench/live/tool.py
+++ b/bench/live/tool.py
@@ -1,7 +1,7 @@
-"""What the load tool itself costs: its CPU and lateness at several rates.
+"""Measures the CPU and lateness of the load tool itself at several rates.
 
-It calls engine stand-ins that bear far more than they are sent, so that
-nothing but the tool can be late.
+The tool calls stand-in engines with far more capacity than they need, so that only
+the tool can be late.
 """
 
 import tempfile
@@ -33,21 +33,21 @@
 
 
 def measure_tool() -> Table:
-    """Run the tool at each rate and return what it cost."""
-    with tempfile.TemporaryDirectory() as place:
-        rows = [_measure_rate(rate, Path(place)) for rate in RATES]
+    """Run the tool at each rate and return the table of its costs."""
+    with tempfile.TemporaryDirectory() as directory:
+        rows = [_measure_rate(rate, Path(directory)) for rate in RATES]
     title = f"load tool, streams of {TOKENS} tokens at {SPEED} tokens/s"
     return Table(title=title, headings=HEADINGS, rows=rows)
 
 
-def _measure_rate(rate: int, place: Path) -> list[str]:
-    plan = place / "plan.ini"
+def _measure_rate(rate: int, directory: Path) -> list[str]:
+    plan = directory / "plan.ini"
     plan.write_text(
         f"[kind stream]\norganisation = bench\nkey = bench\nmodel = {VERSION}\n"
         f"requests_per_second = {rate}\nmax_tokens = {TOKENS}\n"
         f"[phase steady]\nseconds = {SECONDS}\n"
     )
-    log = place / "processes.log"
+    log = directory / "processes.log"
     options = ("--versions", VERSION, "--slots", str(SLOTS), "--speed", str(SPEED))
     started: list[Process] = []
     try:
--- a/bench/live/variants.py
+++ b/bench/live/variants.py
@@ -1,7 +1,7 @@
-"""The scenarios: what is sent, which way, and what operators do meanwhile.
+"""The scenarios: their load, its route and what operators do meanwhile.
 
-Six engines of 8 slots at 50 tokens a second bear 2,400 tokens a second,
-which is 96 requests of 25 tokens.
+Six engines with 8 slots at 50 tokens/s have a capacity of 2,400 tokens/s, which is
+96 requests/s of 25 tokens.
 """
 
 import msgspec
@@ -13,29 +13,35 @@
 TOKENS = 25
 WARM_TOKENS = 10
 WARM_RATE = 300
+# Of each request, in seconds.
 DEADLINE = 10.0
 LARGE, QUIET = "large", "quiet"
 LARGE_KEY, QUIET_KEY = "bench-large", "bench-quiet"
 
 BURST, HOT, DOMAIN = "burst", "hot", "domain"
 SCENARIOS = (BURST, HOT, DOMAIN)
+# When the domain is taken out and brought back, in seconds from the start.
 OUT_AT, IN_AT = 4.0, 11.0
 DOMAIN_OUT = DOMAINS[-1]
 
 
 class Phase(msgspec.Struct, kw_only=True, frozen=True):
-    """A phase: its seconds, and the factor of the large organisation's rate."""
+    """A phase of the load.
+
+    `factor` multiplies the rate of the large organisation.
+    """
 
     seconds: float
     factor: float = 1.0
 
 
 class Variant(msgspec.Struct, kw_only=True, frozen=True):
-    """One way to run a scenario.
+    """One variant of a scenario.
 
-    `large_rate` and `quiet_rate` are requests/s.  With `straight` callers
-    go round the engines themselves, with neither entries nor agents.
-    `quiet_key` is the key that the quiet organisation's callers use.
+    `large_rate` and `quiet_rate` are in requests/s.  With `bypasses_router` callers
+    call the engines directly in turn, without entries and agents.  `quiet_key` is
+    the API key of the quiet organisation's callers.  With `is_taken_out` operators
+    take a failure domain out and back in.
     """
 
     scenario: str
@@ -43,7 +49,7 @@
     large_rate: float
     quiet_rate: float
     phases: tuple[Phase, ...]
-    straight: bool = False
+    bypasses_router: bool = False
     quiet_key: str = QUIET_KEY
     is_taken_out: bool = False
 
@@ -70,7 +76,7 @@
         large_rate=40,
         quiet_rate=8,
         phases=BURST_PHASES,
-        straight=True,
+        bypasses_router=True,
     ),
     Variant(
         scenario=HOT, name="quiet alone", large_rate=0, quiet_rate=8, phases=STEADY
@@ -90,7 +96,7 @@
         large_rate=190,
         quiet_rate=8,
         phases=STEADY,
-        straight=True,
+        bypasses_router=True,
     ),
     Variant(
         scenario=DOMAIN,
@@ -109,8 +115,8 @@
 def build_document() -> str:
     """Return the operators' document of the fleet.
 
-    Rate limits are out of the way, so that queues and admission are what
-    is measured.
+    Its rate limits are too high to apply, so that queues and admission control are
+    measured.
     """
     sections = [
         f"[team {TEAM}]\nsections = *",
@@ -138,7 +144,7 @@
 
 
 def build_warm_up() -> str:
-    """Return the text of a plan that keeps all slots busy for a moment."""
+    """Return the text of a load plan that keeps all slots busy for a moment."""
     kind = _describe_kind(LARGE, LARGE_KEY, WARM_RATE).replace(
         f"max_tokens = {TOKENS}", f"max_tokens = {WARM_TOKENS}"
     )
--- a/bench/plays/__init__.py
+++ b/bench/plays/__init__.py
@@ -1,1 +1,1 @@
-"""Days of the users' bench, played by several copies of the tree side by side."""
+"""Plays days of the users' bench with several copies of the source tree."""
--- a/bench/plays/__main__.py
+++ b/bench/plays/__main__.py
@@ -1,6 +1,6 @@
-"""Compare trees, or the tree without a mechanism: `python -m bench.plays`.
+"""Compare source trees, or ablate mechanisms of this one: `python -m bench.plays`.
 
-The bench that plays the days is the users' own; its path is an argument.
+The days are played by the users' own bench, whose path is an argument.
 """
 
 import argparse
@@ -14,8 +14,8 @@
 from .mechanisms import MECHANISMS, find_mechanism
 from .play import Play, Summary, play_all
 
-# The name that tables give the tree as it is.
-WHOLE = "whole"
+# Name of the unchanged tree in tables.
+UNCHANGED = "whole"
 
 HEADINGS = (
     "site",
@@ -32,15 +32,22 @@
 
 
 def read_arguments() -> argparse.Namespace:
-    """Return the command's arguments."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog="python -m bench.plays", description=__doc__)
-    parser.add_argument("--bench", type=Path, required=True, help="the bench's program")
+    parser.add_argument(
+        "--bench", type=Path, required=True, help="program of the bench"
+    )
     parser.add_argument("--site", type=Path, action="append", required=True)
     parser.add_argument("--day", action="append", required=True)
     parser.add_argument("--seed", type=int, action="append", default=[])
-    parser.add_argument("--scratch", type=Path, required=True, help="for the copies")
     parser.add_argument(
-        "--tree", action="append", default=[], help="NAME=FOLDER, to compare with"
+        "--scratch", type=Path, required=True, help="folder for the copies"
+    )
+    parser.add_argument(
+        "--tree",
+        action="append",
+        default=[],
+        help="NAME=FOLDER, a tree to compare with",
     )
     parser.add_argument(
         "--without",
@@ -49,16 +56,16 @@
         choices=[one.name for one in MECHANISMS],
     )
     parser.add_argument("--without-each", action="store_true")
-    parser.add_argument("--why", required=True, help="for the journal")
-    parser.add_argument("--jobs", type=int, default=2, help="days at a time")
+    parser.add_argument("--why", required=True, help="reason, for the journal")
+    parser.add_argument("--jobs", type=int, default=2, help="days played in parallel")
     parser.add_argument("--markdown", action="store_true")
     return parser.parse_args()
 
 
 def make_copies(options: argparse.Namespace) -> list[Copy]:
-    """Return the trees to play."""
+    """Make copies of the trees to play and return them."""
     scratch = options.scratch.resolve()
-    copies = [copy_tree(name=WHOLE, source=ROOT, scratch=scratch)]
+    copies = [copy_tree(name=UNCHANGED, source=ROOT, scratch=scratch)]
     for tree in options.tree:
         name, _, folder = tree.partition("=")
         source = Path(folder).resolve()
@@ -73,7 +80,7 @@
 
 
 def list_figures(one: Summary) -> list[str]:
-    """Return a table's row."""
+    """Return the table row of a summary."""
     if not one.reports:
         return [one.site, one.day, one.copy, "", "", "", "", "", "", one.broken]
     names = ("served", "failed", "windows", "price")
@@ -89,7 +96,7 @@
 
 
 def main() -> None:
-    """Play and print."""
+    """Play all days with all copies and print the table."""
     options = read_arguments()
     copies = make_copies(options)
     seeds = options.seed or [None]
--- a/bench/plays/copies.py
+++ b/bench/plays/copies.py
@@ -1,4 +1,4 @@
-"""Copies of the tree to play with, as they are or without a mechanism."""
+"""Makes copies of a source tree, complete or without a mechanism."""
 
 import shutil
 import subprocess
@@ -10,26 +10,29 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-# What a day is played with; all else of a copy only has to be there.
-PLAYED = ("eelgrassrack", "deploy")
+# Folders that a play uses.  The rest of a copy only has to exist.
+USED_FOLDERS = ("eelgrassrack", "deploy")
 JOURNAL = "journal"
 
 
 class Copy(msgspec.Struct, kw_only=True, frozen=True):
-    """A tree to play, by the name that tables give it."""
+    """A copy of a tree and its name in tables."""
 
     name: str
     folder: Path
 
 
 def copy_tree(*, name: str, source: Path, scratch: Path) -> Copy:
-    """Return a copy of a tree, with its uncommitted changes."""
+    """Copy a tree, including uncommitted changes of the folders that a play uses.
+
+    An older copy of the same name is replaced.
+    """
     folder = scratch / name
     if folder.exists():
         shutil.rmtree(folder)
     scratch.mkdir(parents=True, exist_ok=True)
     subprocess.run(["git", "clone", "--quiet", source, folder], check=True)
-    for part in PLAYED:
+    for part in USED_FOLDERS:
         shutil.copytree(
             source / part,
             folder / part,
@@ -40,29 +43,32 @@
 
 
 def remove(mechanism: Mechanism, copy: Copy) -> None:
-    """Give a mechanism its neutral answer in a copy.
+    """Remove a mechanism from a copy.
 
-    What is appended to a module stands in the place of the same name before.
+    The neutral code is appended to the module, where it replaces the earlier
+    definition of the same name.
     """
     path = copy.folder / mechanism.module
     path.write_text(f"{path.read_text()}\n\n{mechanism.neutral}")
 
 
 def keep_journal(copies: list[Copy]) -> int:
-    """Take the copies' new journal entries over; return the number of files."""
+    """Copy new journal entries into this tree; return the number of files."""
     found = [
         path
         for copy in copies
         for path in (copy.folder / JOURNAL).rglob("*")
         if path.is_file()
     ]
-    fresh = {path: target for path in found if not (target := _place(path)).exists()}
+    fresh = {
+        path: target for path in found if not (target := _find_target(path)).exists()
+    }
     for path, target in fresh.items():
         target.parent.mkdir(parents=True, exist_ok=True)
         shutil.copyfile(path, target)
     return len(fresh)
 
 
-def _place(path: Path) -> Path:
-    """Return where a copy's journal file belongs in this tree."""
+def _find_target(path: Path) -> Path:
+    """Return the path in this tree for a journal file of a copy."""
     return ROOT.joinpath(*path.parts[path.parts.index(JOURNAL) :])
--- a/bench/plays/mechanisms.py
+++ b/bench/plays/mechanisms.py
@@ -1,15 +1,15 @@
-"""Mechanisms of the gateway, and the neutral answer that stands for each.
+"""Mechanisms of the gateway, and code that removes each for an ablation.
 
-A neutral answer is what the gateway would do if nobody had thought of the
-mechanism.  It is appended to the mechanism's module in a copy of the tree, so
-the product itself holds no switches.
+The neutral code does what the gateway would do without the mechanism.  It is
+appended to the mechanism's module in a copy of the tree, so that the product needs
+no switches.
 """
 
 import msgspec
 
 
 class Mechanism(msgspec.Struct, kw_only=True, frozen=True):
-    """One mechanism: its module, and the code without it."""
+    """A mechanism: the path of its module, and the code that replaces it."""
 
     name: str
     module: str
@@ -113,5 +113,5 @@
 
 
 def find_mechanism(name: str) -> Mechanism:
-    """Return a mechanism by its name; raise `KeyError`."""
+    """Return the mechanism of that name; raise `KeyError` if there is none."""
     return {one.name: one for one in MECHANISMS}[name]
--- a/bench/plays/play.py
+++ b/bench/plays/play.py
@@ -1,4 +1,4 @@
-"""One day played by one copy, and what came of it."""
+"""Plays days of the users' bench with copies of the tree, and reads its reports."""
 
 import itertools
 import statistics
@@ -11,11 +11,12 @@
 
 from .copies import Copy
 
-LONGEST_SECONDS = 1_200
+# A play is ended after this time.
+MAX_PLAY_SECONDS = 1_200
 
 
 class Play(msgspec.Struct, kw_only=True, frozen=True):
-    """A day to play; without a seed it is played by the day's own."""
+    """A day to play with a copy; without a seed, the bench uses the day's own."""
 
     copy: Copy
     site: Path
@@ -24,7 +25,7 @@
 
 
 class Price(msgspec.Struct, frozen=True, array_like=True):
-    """What is taken off for one thing, as a part of the worth."""
+    """A deduction from the worth, for one kind of cost."""
 
     name: str
     amount: float
@@ -32,7 +33,7 @@
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True):
-    """One part of the worth, before prices."""
+    """A weighted component of the worth, before deductions."""
 
     name: str
     weight: float
@@ -40,7 +41,10 @@
 
 
 class Report(msgspec.Struct, kw_only=True, frozen=True):
-    """What the bench says of a played day; the names are its own."""
+    """The bench's report on a played day, with the field names of its JSON.
+
+    `G` is the worth, `breaks` counts the broken rules.
+    """
 
     G: float
     served: float
@@ -53,24 +57,24 @@
 
     @property
     def price(self) -> float:
-        """Return all that is taken off."""
+        """Return the sum of all deductions."""
         return sum(price.worth for price in self.prices)
 
     @property
     def windows(self) -> float:
-        """Return the share of the worst seconds."""
+        """Return the value of the worst windows, or 0 if the report has none."""
         found = [part.value for part in self.parts if "windows" in part.name]
         return found[0] if found else 0.0
 
 
 class Failure(msgspec.Struct, kw_only=True, frozen=True):
-    """A play without a report; `reason` is the last that the bench said."""
+    """A play without a report; `reason` is the last line that the bench printed."""
 
     reason: str
 
 
 class Summary(msgspec.Struct, kw_only=True, frozen=True):
-    """Several seeds of one day with one copy."""
+    """The plays of one day with one copy, over all seeds."""
 
     copy: str
     site: str
@@ -84,14 +88,14 @@
 
     @property
     def spread(self) -> float:
-        """Return the standard deviation of the worth over the seeds."""
+        """Return the standard deviation of the worth over the seeds, or 0 for one."""
         if len(self.reports) < 2:
             return 0.0
         return statistics.stdev(one.G for one in self.reports)
 
     @property
     def broken(self) -> str:
-        """Return the rules that were broken, and plays without a report."""
+        """Return the broken rules, the faults and the reasons of failed plays."""
         rules = itertools.chain.from_iterable(one.breaks for one in self.reports)
         faults = ["fault" for one in self.reports if one.fault]
         failures = [one.reason for one in self.failures]
@@ -101,7 +105,10 @@
 def play_all(
     plays: Iterable[Play], *, bench: Path, jobs: int, why: str
 ) -> list[Summary]:
-    """Play days, so many at a time, and return them by copy and day."""
+    """Play days, `jobs` at a time; return a summary for each site, day and copy.
+
+    `bench` is the path of the bench's program, `why` the reason for its journal.
+    """
     plays = list(plays)
     with ThreadPoolExecutor(max_workers=jobs) as pool:
         ends = list(pool.map(lambda one: _play(one, bench=bench, why=why), plays))
@@ -140,11 +147,11 @@
             cwd=play.copy.folder,
             capture_output=True,
             text=True,
-            timeout=LONGEST_SECONDS,
+            timeout=MAX_PLAY_SECONDS,
             check=False,
         )
     except subprocess.TimeoutExpired:
-        return Failure(reason=f"no end within {LONGEST_SECONDS} s")
+        return Failure(reason=f"no end within {MAX_PLAY_SECONDS} s")
     if not report.exists():
         last = (ended.stdout + ended.stderr).strip().splitlines()
         return Failure(reason=last[-1] if last else f"status {ended.returncode}")
--- a/test/bench/test_live.py
+++ b/test/bench/test_live.py
@@ -1,9 +1,9 @@
-"""Tests of the live scenarios' texts and figures, without their processes."""
+"""Tests of the live scenarios' documents, plans and tables, without processes."""
 
 import pytest
 
 from bench.live.figures import describe_changes, list_tables
-from bench.live.play import Change, Played
+from bench.live.play import Change, VariantResult
 from bench.live.variants import (
     LARGE,
     QUIET,
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_all_ways_of_a_scenario_get_the_same_load_of_the_quiet(scenario):
+def test_all_variants_of_a_scenario_get_the_same_quiet_load(scenario):
     plans = [
         parse_plan(text=build_plan(variant))
         for variant in VARIANTS
@@ -50,7 +50,7 @@
     assert all(other == times[0] for other in times)
 
 
-def make_played(in_time, change=None):
+def make_variant_result(in_time, change=None):
     times = Times(count=1, p50=10.0, p95=20.0, p99=30.0, longest=40.0)
     row = Row(
         organisation=LARGE,
@@ -74,20 +74,20 @@
     )
     totals = Totals(arrivals=10, seconds=1.0, cpu_share=0.1, most_at_once=5)
     report = Report(totals=totals, lag=times, rows=(row,), seconds=())
-    return Played(report=report, change=change)
+    return VariantResult(report=report, change=change)
 
 
 def test_figures_are_medians_of_the_runs():
-    (table,) = list_tables([(VARIANTS[0], [make_played(n) for n in (9, 2, 7)])])
+    (table,) = list_tables([(VARIANTS[0], [make_variant_result(n) for n in (9, 2, 7)])])
     (row,) = table.rows
     assert len(row) == len(table.headings)
     assert row[:6] == ["router", "large", "10", "70.0 %", "0", "3"]
     assert row[8:11] == ["2.00", "1.5 / 2.5", "10 / 20 / 30"]
 
 
-def test_strays_of_all_runs_are_told():
-    """A domain that is out was given a request in one run of three."""
-    changes = [Change(idle_after=1.0, busy_after=2.0, stray=n) for n in (0, 1, 0)]
-    played = [make_played(9, change) for change in changes]
+def test_busy_polls_of_all_runs_are_reported():
+    """A domain that had been taken out got a request in one run of three."""
+    changes = [Change(idle_after=1.0, busy_after=2.0, busy_polls=n) for n in (0, 1, 0)]
+    played = [make_variant_result(9, change) for change in changes]
     assert describe_changes(played).endswith("seen busy in between 1 times")
-    assert describe_changes([make_played(9)]) == ""
+    assert describe_changes([make_variant_result(9)]) == ""
--- a/test/bench/test_plays.py
+++ b/test/bench/test_plays.py
@@ -1,4 +1,4 @@
-"""Tests of the command that plays days with several trees."""
+"""Tests of the command that plays days with several source trees."""
 
 import ast
 import importlib
@@ -28,7 +28,7 @@
 
 
 def list_replaced(neutral):
-    """Return the names that a neutral answer takes the place of, with dots."""
+    """Yield the dotted names that neutral code replaces."""
     for node in ast.parse(neutral).body:
         match node:
             case ast.FunctionDef(name=name):
@@ -38,10 +38,11 @@
 
 
 @pytest.mark.parametrize("name", [one.name for one in MECHANISMS])
-def test_a_neutral_answer_replaces_something_that_is_there(name):
-    """A function is renamed, and its ablation goes on to show that it is worth nothing.
+def test_neutral_code_replaces_an_existing_name(name):
+    """A renamed function would silently break its ablation.
 
-    Nothing would be taken out of the copy, and nobody would notice.
+    The neutral code would replace nothing in the copy, so the ablation would show
+    that the mechanism has no effect.
     """
     mechanism = find_mechanism(name)
     path = mechanism.module.removesuffix(".py").replace("/", ".")
@@ -64,8 +65,8 @@
     assert summarize(make_report(0.6)).spread == 0.0
 
 
-def test_broken_rules_and_plays_without_a_report_are_told():
-    """A tree that breaks a rule, or doesn't start, must not look like a good one."""
+def test_broken_rules_and_failed_plays_are_reported():
+    """A tree that breaks a rule or doesn't start must not look like a good one."""
     found = summarize(
         make_report(0.6, breaks={"TWICE": 1}),
         make_report(0.6, fault="did not start"),
