--- a/bench/gatewaysoak/answers.py
+++ b/bench/gatewaysoak/answers.py
@@ -1,4 +1,4 @@
-"""Checks that every request was answered as a running or stopping gateway must.
+"""Checks that running and stopping gateways answered every request as they must.
 
 All times are in seconds, on the monotonic clock.
 """
--- a/bench/gatewaysoak/callers.py
+++ b/bench/gatewaysoak/callers.py
@@ -55,7 +55,7 @@
 class Callers:
     """Callers that send requests until `is_stopping` is set.
 
-    Each runs `run` and keeps its connection alive between requests.
+    Each call of `run` is one caller, which reuses its connection while it can.
     """
 
     def __init__(
@@ -153,11 +153,11 @@
 
         The wait is extended by the time for which this process was itself held up.
         """
-        last = sent_at + ANSWER_SECONDS
-        while not reading.done() and (left := last - time.monotonic()) > 0:
-            await asyncio.wait({reading}, timeout=left)
-            last = sent_at + ANSWER_SECONDS
-            last += self._lateness.sum_within(sent_at, time.monotonic())
+        deadline = sent_at + ANSWER_SECONDS
+        while not reading.done() and (remaining := deadline - time.monotonic()) > 0:
+            await asyncio.wait({reading}, timeout=remaining)
+            deadline = sent_at + ANSWER_SECONDS
+            deadline += self._lateness.sum_within(sent_at, time.monotonic())
         if reading.done():
             return reading.result()
         reading.cancel()
--- a/bench/gatewaysoak/draining.py
+++ b/bench/gatewaysoak/draining.py
@@ -51,7 +51,7 @@
         return outage
 
     def list_late(self, runs: dict[str, list[float]]) -> list[str]:
-        """Describe the requests that reached an endpoint too long after its drain.
+        """List requests that reached an endpoint too long after its drain began.
 
         `runs` holds the monotonic times of each endpoint's requests.  A request
         is too late if gateways had no outage for the whole bound before it.
--- a/bench/gatewaysoak/gateways.py
+++ b/bench/gatewaysoak/gateways.py
@@ -108,8 +108,8 @@
 
         Return 0 if no process is stopping.
         """
-        left = self.lifetimes[-1].sigterm_at + self.grace - time.monotonic()
-        return left if self.is_up and left <= self.grace else 0.0
+        remaining = self.lifetimes[-1].sigterm_at + self.grace - time.monotonic()
+        return remaining if self.is_up and remaining <= self.grace else 0.0
 
     def start(self) -> None:
         """Start the process unless it runs."""
--- a/bench/gatewaysoak/play.py
+++ b/bench/gatewaysoak/play.py
@@ -45,7 +45,7 @@
 # Between two gateways' SIGTERM, so that many of them don't load their libraries at
 # the same time when they are started again.
 MIN_GAP_SECONDS = 0.1
-# How often one fault may stop all gateways.
+# One fault stops all gateways at most this many times.
 MAX_SERIES = 3
 
 # Pauses of stopping gateways, and the grace that remains after each.
@@ -151,14 +151,14 @@
             watching.cancel()
         engines = self._engines.values()
         broken = dict(pair for one in engines for pair in one.broken.items())
-        answers = AnswerCheck(
+        answer_check = AnswerCheck(
             results=callers.results,
             gateways=self._gateways,
             broken=broken,
             resets=self._reset_times,
             lateness=self._lateness,
         )
-        faults = self._check(callers) + answers.list_faults()
+        faults = self._check(callers) + answer_check.list_faults()
         if not recovered:
             faults.append("nothing was served after all faults were over")
         served = sum(result.status == 200 for result in callers.results)
@@ -168,7 +168,7 @@
             sent=len(callers.results),
             served=served,
             fault_counts=dict(self._fault_counts),
-            late_outcomes=dict(answers.counts),
+            late_outcomes=dict(answer_check.counts),
         )
 
     async def _start(self) -> None:
--- a/bench/plays/play.py
+++ b/bench/plays/play.py
@@ -111,10 +111,10 @@
     """
     plays = list(plays)
     with ThreadPoolExecutor(max_workers=jobs) as pool:
-        ends = list(pool.map(lambda one: _play(one, bench=bench, why=why), plays))
-    pairs = sorted(zip(plays, ends, strict=True), key=lambda pair: _name(pair[0]))
+        outcomes = list(pool.map(lambda one: _play(one, bench=bench, why=why), plays))
+    pairs = sorted(zip(plays, outcomes, strict=True), key=lambda pair: _name(pair[0]))
     return [
-        _summarize(*name, [end for _, end in group])
+        _summarize(*name, [outcome for _, outcome in group])
         for name, group in itertools.groupby(pairs, key=lambda pair: _name(pair[0]))
     ]
 
@@ -123,13 +123,15 @@
     return (play.site.stem, play.day, play.copy.name)
 
 
-def _summarize(site: str, day: str, copy: str, ends: list[Report | Failure]) -> Summary:
+def _summarize(
+    site: str, day: str, copy: str, outcomes: list[Report | Failure]
+) -> Summary:
     return Summary(
         copy=copy,
         site=site,
         day=day,
-        reports=[one for one in ends if isinstance(one, Report)],
-        failures=[one for one in ends if isinstance(one, Failure)],
+        reports=[one for one in outcomes if isinstance(one, Report)],
+        failures=[one for one in outcomes if isinstance(one, Failure)],
     )
 
 
@@ -142,7 +144,7 @@
     if play.seed is not None:
         command += ["--seed", str(play.seed)]
     try:
-        ended = subprocess.run(
+        completed = subprocess.run(
             [str(word) for word in command],
             cwd=play.copy.folder,
             capture_output=True,
@@ -153,6 +155,6 @@
     except subprocess.TimeoutExpired:
         return Failure(reason=f"no end within {MAX_PLAY_SECONDS} s")
     if not report.exists():
-        last = (ended.stdout + ended.stderr).strip().splitlines()
-        return Failure(reason=last[-1] if last else f"status {ended.returncode}")
+        last = (completed.stdout + completed.stderr).strip().splitlines()
+        return Failure(reason=last[-1] if last else f"status {completed.returncode}")
     return msgspec.json.decode(report.read_bytes(), type=Report)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -31,7 +31,7 @@
 SHORT_RATE = 100.0
 
 
-class StreamResult(msgspec.Struct, kw_only=True, frozen=True):
+class Measured(msgspec.Struct, kw_only=True, frozen=True):
     """Streams of one measured window.
 
     `cpu` is in microseconds per token, `rate` in tokens/s, `core` in CPU cores.  The
@@ -70,7 +70,7 @@
     child: Child | None,
     profile: float = 0.0,
     seconds: float = WINDOW_SECONDS,
-) -> StreamResult:
+) -> Measured:
     """Run streams for `seconds` and measure the CPU time that `child` uses.
 
     With `profile`, first print a profile of `child` over so many seconds.
@@ -95,7 +95,7 @@
     spent = child.cpu - before if child else 0.0
     await stage.end(client)
     await asyncio.sleep(1.0)
-    return StreamResult(
+    return Measured(
         cpu=spent / max(found["tokens"], 1) * 1e6,
         rate=found["tokens"] / took,
         core=spent / took,
@@ -106,7 +106,7 @@
     )
 
 
-async def measure_relays(streams: int) -> dict[str, StreamResult]:
+async def measure_relays(streams: int) -> dict[str, Measured]:
     """Measure direct streams, both bare relays and the entry in one run."""
     async with Stage(document=make_document()) as stage:
         by_process = await stage.start_engines(
@@ -141,7 +141,7 @@
     profile: float = 0.0,
     seconds: float = WINDOW_SECONDS,
     each: int = ENGINES_PER_PROCESS,
-) -> StreamResult:
+) -> Measured:
     """Measure the streams and the CPU time of an entry."""
     async with Stage(document=make_document()) as stage:
         by_process = await stage.start_engines(processes=ENGINE_PROCESSES, each=each)
@@ -160,7 +160,7 @@
 
 async def measure_agent(
     streams: int, *, profile: float = 0.0, seconds: float = WINDOW_SECONDS
-) -> StreamResult:
+) -> Measured:
     """Measure the CPU time of one agent that relays all streams of an entry."""
     async with Stage(document=make_document()) as stage:
         ((url,),) = await stage.start_engines(processes=1, each=1)
@@ -231,13 +231,13 @@
     }
 
 
-def find_median(runs: list[StreamResult]) -> StreamResult:
+def find_median(runs: list[Measured]) -> Measured:
     """Return the run with the median CPU, or the median gap if there is no CPU."""
     ranked = sorted(runs, key=lambda run: (run.cpu, run.p95))
     return ranked[len(ranked) // 2]
 
 
-def make_row(name: str, streams: int, runs: list[StreamResult]) -> list[str]:
+def make_row(name: str, streams: int, runs: list[Measured]) -> list[str]:
     """Return the row of the median run, with the lowest and highest CPU."""
     median = find_median(runs)
     low, high = min(run.cpu for run in runs), max(run.cpu for run in runs)
@@ -254,7 +254,7 @@
     ]
 
 
-def make_ratios(streams: int, runs: list[dict[str, StreamResult]]) -> list[str]:
+def make_ratios(streams: int, runs: list[dict[str, Measured]]) -> list[str]:
     """Return the row of ratios of the entry's CPU to that of the byte relay."""
     ratios = [run["entry"].cpu / run["byte-relay"].cpu for run in runs]
     added = [run["entry"].p95 - run["engines alone"].p95 for run in runs]
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -361,7 +361,7 @@
     return asyncio.run(follow_revisions(size))
 
 
-async def exchange_parcels(size: int) -> dict[str, float]:
+async def exchange_batches(size: int) -> dict[str, float]:
     """Measure sending and receiving batches of one heartbeat, with `size` receivers."""
     loop = asyncio.get_running_loop()
     arrived = 0
@@ -401,9 +401,9 @@
     return {"parcel us": spent / max(arrived, 1), "lost": rounds * size - arrived}
 
 
-def measure_parcels(size: int) -> dict[str, float]:
+def measure_batches(size: int) -> dict[str, float]:
     """Measure batches between one sender and `size` receivers."""
-    return asyncio.run(exchange_parcels(size))
+    return asyncio.run(exchange_batches(size))
 
 
 def measure_messages(unused_size: int) -> dict[str, float]:
@@ -442,7 +442,7 @@
     "listing": measure_listing,
     "listing-memory": measure_listing_memory,
     "messages": measure_messages,
-    "parcels": measure_parcels,
+    "parcels": measure_batches,
     "placement": measure_placement,
     "revision": measure_revision,
 }
--- a/test/bench/test_gatewaysoak.py
+++ b/test/bench/test_gatewaysoak.py
@@ -89,10 +89,10 @@
         began=90.0, sigterm_at=100.0, disruptions=list(disruptions)
     )
     gateway = FakeGateway(lifetime, read=read, started=started)
-    answers = AnswerCheck(
+    check = AnswerCheck(
         results=[result], gateways=[gateway], broken=dict(broken), resets=resets
     )
-    return answers.list_faults()
+    return check.list_faults()
 
 
 def test_the_soak_notices_a_request_without_an_answer():
--- a/test/bench/test_tables.py
+++ b/test/bench/test_tables.py
@@ -1,14 +1,12 @@
 """Tests of tables, medians and the choice of the median run."""
 
 from bench.capacity import find_medians
-from bench.relay import StreamResult, find_median, make_row
+from bench.relay import Measured, find_median, make_row
 from bench.tables import Table
 
 
-def make_result(cpu: float) -> StreamResult:
-    return StreamResult(
-        cpu=cpu, rate=100, core=0.5, p50=33, p95=cpu + 30, p99=60, lost=0
-    )
+def make_result(cpu: float) -> Measured:
+    return Measured(cpu=cpu, rate=100, core=0.5, p50=33, p95=cpu + 30, p99=60, lost=0)
 
 
 def test_a_row_shows_the_median_run_and_the_cpu_range():
