--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -1,4 +1,4 @@
-"""One agent: its parts, wired and supervised."""
+"""The agent: wires its parts together and supervises them."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 from ..decisions.coldstart import CollapseReason
 from ..incarnations import make_incarnation
 from ..invariants import Invariants, Promise
-from ..mailbox.messages import AnyMessage, Bill, Parcel
+from ..mailbox.messages import AnyMessage, Bill, MessageBatch
 from ..mailbox.socket import Mailbox
 from ..metrics import (
     CRASHES,
@@ -20,18 +20,18 @@
 from ..store.objects import ObjectStore
 from ..store.pricing import price_bill
 from ..supervisor import Supervisor
+from .admission import AgentState
 from .attempts import Attempts
 from .core import Core, make_core
 from .custody import BillKeeper
 from .engine import HttpEngine
-from .entries import Entries
-from .gate import Standing
+from .entries import EntryDirectory
 from .health import POLL_SECONDS, Health
 from .heartbeat import Heartbeat
 from .inbox import Inbox
 from .intake import Intake
 from .outbox import Outbox
-from .pause import PauseWatch
+from .pause import PauseDetector
 from .quarantine import Quarantine
 from .relay import Relay
 from .replies import Replies
@@ -44,12 +44,12 @@
 SWEEP_SECONDS = 1.0
 DRAIN_POLL_SECONDS = 0.05
 
-# Longest time to settle bills alone, after the grace.
+# Limit for settling bills without an entry once the grace period is over.
 SETTLE_SECONDS = 5.0
 
 
 class Agent:
-    """One agent beside one endpoint."""
+    """An agent, which runs beside its endpoint and controls access to it."""
 
     __slots__ = (
         "_attempts",
@@ -72,7 +72,7 @@
         "_quarantine",
         "_runner",
         "_settings",
-        "_standing",
+        "_state",
         "_store",
         "_supervisor",
         "_swept_at",
@@ -88,9 +88,10 @@
         invariants: Invariants | None = None,
         store: ObjectStore | None = None,
     ) -> None:
-        """Wire an agent; it needs a running loop.
+        """Wire the parts together; requires a running event loop.
 
-        `store` is used once, for bills that no entry took before a stop.
+        `store` is used only during a stop, to settle bills that no entry has
+        settled.
         """
         self.invariants = invariants or Invariants()
         self._settings = settings
@@ -102,9 +103,9 @@
         self._hurry = asyncio.Event()
         self._metrics = Metrics(settings=settings.metrics, clock=clock)
         self._supervisor = Supervisor(name="agent")
-        self._entries = Entries(name=settings.name)
+        self._entries = EntryDirectory(name=settings.name)
         self._quarantine = Quarantine()
-        self._standing = Standing(
+        self._state = AgentState(
             endpoint=settings.name,
             domain=settings.domain,
             pool=settings.pool,
@@ -112,12 +113,12 @@
         )
         self._mailbox = Mailbox(
             address=settings.mailbox,
-            incarnation=self._standing.incarnation,
+            incarnation=self._state.incarnation,
             deliver=self._deliver,
         )
         self._outbox = Outbox(post=self._post)
-        self._pause = PauseWatch(
-            standing=self._standing,
+        self._pause = PauseDetector(
+            state=self._state,
             entries=self._entries,
             post=self._post,
             clock=clock,
@@ -129,18 +130,18 @@
         self._wire_attempts()
 
     def _wire_attempts(self) -> None:
-        """Make the parts that deal with attempts."""
+        """Create the parts that handle attempts."""
         self._attempts = Attempts(now=self._clock())
         relay = Relay(
             attempts=self._attempts, outbox=self._outbox, metrics=self._metrics
         )
         self._core: Core = make_core(
-            standing=self._standing,
+            state=self._state,
             attempts=self._attempts,
             relay=relay,
             clock=self._clock,
             invariants=self.invariants,
-            notice=self._pause.notice,
+            detect_pause=self._pause.detect_pause,
         )
         self._heartbeat = Heartbeat(
             core=self._core,
@@ -165,7 +166,7 @@
         replies = Replies(
             attempts=self._attempts,
             relay=relay,
-            standing=self._standing,
+            state=self._state,
             clock=self._clock,
         )
         self._inbox = Inbox(
@@ -177,39 +178,41 @@
             pause=self._pause,
             quarantine=self._quarantine,
             post=self._post,
-            on_newer=self._heartbeat.send,
+            on_new_revision=self._heartbeat.send,
         )
 
     @property
     def address(self) -> str:
-        """Return the mailbox's address, with its port once started."""
+        """Return the mailbox's address; it holds the real port once started."""
         return self._mailbox.address
 
     @property
     def incarnation(self) -> str:
-        """Return the name of this start of the agent."""
-        return self._standing.incarnation
+        """Return the name that identifies this run of the agent."""
+        return self._state.incarnation
 
     async def start(self) -> None:
-        """Listen and begin to follow entries and the endpoint's health.
+        """Listen, and start to follow the instance list and the endpoint's health.
 
-        Raise `MailboxError` when the mailbox's address can't be had.
+        Raise `MailboxError` if the mailbox can't listen on its address.
         """
         self._mailbox.open()
         await self._poll_health()
-        self._supervisor.start(name="ticks", job=self._keep_ticking)
-        self._supervisor.start(name="health", job=self._keep_polling)
+        self._supervisor.start(name="ticks", job=self._run_ticks)
+        self._supervisor.start(name="health", job=self._run_health_polls)
         self._supervisor.start(name="instances", job=self._follow_instances)
         log.info("agent: {} listens on {}", self.incarnation, self.address)
 
     async def stop(self) -> None:
-        """Leave: refuse new work, end what runs, pass the bills on, close.
+        """Shut down gracefully.
 
-        Waits at least `lag_seconds`, in which entries that don't know yet
-        still get a true refusal, and at most `grace_seconds`.
+        The agent refuses new work, lets running attempts end, waits for entries
+        to settle its bills, and closes.  It waits for at least `lag_seconds`, so
+        that entries which don't know of the stop yet still get a refusal, and
+        for at most `grace_seconds`.
         """
-        log.info("agent: {} leaves", self.incarnation)
-        self._standing.leaving = True
+        log.info("agent: {} is stopping", self.incarnation)
+        self._state.leaving = True
         self._intake.refuse_waiting()
         self._outbox.flush()
         self._heartbeat.send()
@@ -217,17 +220,18 @@
         while not self._may_close(self._clock() - began):
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         cut = len(self._attempts.running)
-        # What became whole while bills are settled would add another one.
+        # An attempt that completes while bills are being settled would add a bill
+        # that nobody settles.
         self._runner.cut_all("the agent stopped")
         self._outbox.flush()
-        await self._settle_rest()
-        self._report_rest(cut)
+        await self._settle_remaining()
+        self._report_unfinished(cut)
         await self._close()
 
-    async def _settle_rest(self) -> None:
-        """Settle alone the bills that no entry took in the whole grace."""
-        rest = tuple(self._attempts.unsettled.values())
-        if not rest or self._store is None or self._hurry.is_set():
+    async def _settle_remaining(self) -> None:
+        """Settle the bills that no entry settled during the grace period."""
+        remaining = tuple(self._attempts.unsettled.values())
+        if not remaining or self._store is None or self._hurry.is_set():
             return
         settlement = Settlement(
             store=self._store, invariants=self.invariants, price=self._price
@@ -235,24 +239,24 @@
         try:
             async with asyncio.timeout(SETTLE_SECONDS):
                 settled = await settlement.settle(
-                    incarnation=self.incarnation, attempts=rest
+                    incarnation=self.incarnation, attempts=remaining
                 )
         except TimeoutError:
-            log.error("agent: the object API is too slow to settle bills")
+            log.error("agent: settling bills timed out: the object API is too slow")
             return
         for key in settled:
             self._attempts.settle(key=key, now=self._clock())
 
     def _price(self, bill: Bill) -> int:
-        facts = self._standing.facts
+        facts = self._state.facts
         cost = facts.costs.get(bill.version, 0.0) if facts else 0.0
         return price_bill(bill=bill, cost=cost)
 
     async def kill(self) -> None:
-        """Stop at once and without a word, as a killed process does."""
+        """Stop at once and without notifying anybody, like a killed process."""
         self._mailbox.close()
-        # Each slot that is freed would otherwise start what waits.
-        self._standing.leaving = True
+        # Without this, each freed slot would start a queued attempt.
+        self._state.leaving = True
         self._core.slots.stop_all()
         await self._close()
 
@@ -268,15 +272,15 @@
         self._metrics.close()
 
     async def wait_failed(self) -> None:
-        """Wait until a part has failed too often; raise `SupervisorError`."""
+        """Raise `SupervisorError` once a part has failed too often."""
         await self._supervisor.wait_failed()
 
-    def hurry(self) -> None:
-        """End a stop that is under way at once."""
+    def skip_grace_period(self) -> None:
+        """Finish a stop in progress without further waiting."""
         self._hurry.set()
 
-    def _deliver(self, parcel: Parcel) -> None:
-        self._inbox.deliver(parcel)
+    def _deliver(self, batch: MessageBatch) -> None:
+        self._inbox.deliver(batch)
 
     def _post(self, to: str, message: AnyMessage) -> None:
         self._mailbox.post(to=to, message=message)
@@ -289,12 +293,12 @@
 
     async def _is_alive(self, since: float) -> bool:
         alive = await self._health.is_alive(since)
-        self._take_health()
+        self._apply_health()
         if not alive:
             self._heartbeat.send()
         return alive
 
-    async def _keep_ticking(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self._tick()
             await asyncio.sleep(TICK_SECONDS)
@@ -309,54 +313,57 @@
         self._heartbeat.tick()
 
     def _sweep(self, now: float) -> None:
-        """Forget what is over and look after the bills."""
+        """Drop expired state and resend or reassign unsettled bills."""
         self._swept_at = now
         self._quarantine.expire(now=now)
-        self._standing.quarantined = self._quarantine.fingerprints
+        self._state.quarantined = self._quarantine.fingerprints
         self._attempts.expire(now=now)
         self._keeper.tick(now=now)
         needed = {attempt.owner for attempt in self._attempts.live.values()}
         self._entries.forget_lost(needed=needed, now=now)
         self._renew_if_full()
-        self._mailbox.forget_idle()
+        self._mailbox.close_idle()
 
     def _renew_if_full(self) -> None:
-        """Go on as another incarnation when nothing more can be remembered."""
+        """Take a new incarnation name once the attempt records are full.
+
+        Only a new incarnation may drop the records of its predecessor.
+        """
         if not self._attempts.is_full or not self._core.is_idle:
             return
-        self._standing.incarnation = make_incarnation(name=self._settings.name)
-        self._mailbox.incarnation = self._standing.incarnation
+        self._state.incarnation = make_incarnation(name=self._settings.name)
+        self._mailbox.incarnation = self._state.incarnation
         self._attempts.forget_records()
-        log.info("agent: goes on as {}", self._standing.incarnation)
+        log.info("agent: continues as new incarnation {}", self._state.incarnation)
 
-    async def _keep_polling(self) -> None:
+    async def _run_health_polls(self) -> None:
         while True:
             await asyncio.sleep(POLL_SECONDS)
             await self._poll_health()
 
     async def _poll_health(self) -> None:
-        was_up = self._standing.engine_up
+        was_up = self._state.engine_up
         await self._health.poll()
-        self._take_health()
-        if self._standing.engine_up != was_up:
+        self._apply_health()
+        if self._state.engine_up != was_up:
             self._heartbeat.send()
         self._runner.pump()
 
-    def _take_health(self) -> None:
-        self._standing.engine_up = self._health.is_up
+    def _apply_health(self) -> None:
+        self._state.engine_up = self._health.is_up
         self._core.window.is_growth_paused = self._health.is_cold
 
     async def _follow_instances(self) -> None:
-        await follow_instances(instances=self._instances, take=self._take_listing)
+        await follow_instances(instances=self._instances, take=self._apply_listing)
 
-    def _take_listing(self, instances: tuple[Instance, ...]) -> None:
-        self._entries.take_listing(instances, now=self._clock())
-        self._standing.listed_leaving = any(
+    def _apply_listing(self, instances: tuple[Instance, ...]) -> None:
+        self._entries.apply_listing(instances, now=self._clock())
+        self._state.listed_leaving = any(
             instance.leaving
             for instance in instances
             if instance.role is Role.ENDPOINT and instance.name == self._settings.name
         )
-        if self._standing.listed_leaving:
+        if self._state.listed_leaving:
             self._intake.refuse_waiting()
         self._heartbeat.send()
 
@@ -366,12 +373,12 @@
         done = self._core.is_idle and not self._attempts.unsettled
         return done and waited >= self._settings.lag_seconds
 
-    def _report_rest(self, cut: int) -> None:
+    def _report_unfinished(self, cut: int) -> None:
         unsettled = len(self._attempts.unsettled)
         if cut:
-            log.error("agent: {} attempts cut at the stop", cut)
-        # A stop that was hurried isn't a planned one any more.
-        kept = self._hurry.is_set() or not cut
-        self.invariants.check(Promise.GRACEFUL_STOP, kept, f"{cut} cut")
+            log.error("agent: {} running attempts cut off by the stop", cut)
+        # The promise covers planned stops; one that was cut short isn't planned.
+        as_promised = self._hurry.is_set() or not cut
+        self.invariants.check(Promise.GRACEFUL_STOP, as_promised, f"{cut} cut")
         if unsettled:
-            log.error("agent: {} bills unsettled at the stop", unsettled)
+            log.error("agent: {} bills left unsettled by the stop", unsettled)
--- a/eelgrassrack/agent/attempts.py
+++ b/eelgrassrack/agent/attempts.py
@@ -1,35 +1,35 @@
-"""The table of all attempts an agent was given or asked about.
+"""The table of all attempts that the agent was given or asked about.
 
-An attempt is kept while it waits and runs and until its bill is settled, so
-that its answer can be sent again.  After that a record of it remains.
+An attempt is kept while it is queued or running and until its bill is settled,
+so that its answer can be sent again.  After that only a record of it remains.
 """
 
 import dataclasses
 import enum
 
 from ..mailbox.messages import Ended, NotStarted, Refusal, Start
-from .records import Forgotten, Record, Records
+from .records import AttemptRecord, AttemptRecords, ExpiredRecord
 
-# Bytes of answers kept for entries that may ask for them again.
+# Bytes of ended answers kept in case an entry asks for their pieces again.
 MAX_KEPT_BYTES = 8_000_000
 
-# An answer that wasn't whole is kept as long as an entry may need to notice
-# that a parcel was lost.
-KEPT_SECONDS = 30.0
+# An attempt without a bill is kept for as long as an entry may need to detect
+# that a message batch was lost.
+UNBILLED_RETENTION_SECONDS = 30.0
 
-# A whole answer is kept for so long after its end at least, though its bill
-# may be settled sooner.  The entry settles the bill of an answer of which it
-# still lacks pieces; forgotten at once, these could never be sent again, and
-# the caller would wait until its deadline for an answer that was there.
-# Entries ask for missing pieces four times a second.
-SETTLED_SECONDS = 5.0
+# A billed attempt is kept for at least this long after its end, even if its bill
+# is settled sooner.  An entry may settle the bill while it still lacks pieces of
+# the answer.  If these were dropped at once they could never be sent again, and
+# the caller would wait until its deadline for an answer that existed.  Entries
+# ask for missing pieces four times a second.
+BILLED_RETENTION_SECONDS = 5.0
 
-# What may not be repeated runs on for so long after its caller's deadline.
+# How long a non-repeatable attempt may run on after its caller's deadline.
 OVERTIME_SECONDS = 120.0
 
 
 class Phase(enum.Enum):
-    """How far an attempt has come."""
+    """The state of an attempt that is still kept."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -38,15 +38,22 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Attempt:
-    """One attempt and what is needed to run and to repeat it.
-
-    `readers` are the mailboxes that get the pieces: that of the entry that
-    sent it, and of others whose callers sent the same request again.
-    `owner` is the mailbox of the entry that bills it, `incarnation` that
-    entry's and `ledger` the ledger that gets the bill.
-    `settled` tells that nobody waits for a bill of it any more, `holders`
-    which ledgers were given the bill before `ledger`.  `is_suspected`
-    tells that the endpoint died while it ran.
+    """One attempt, with all that is needed to run it and to resend its answer.
+
+    `readers` are the mailboxes that receive the pieces: that of the entry which
+    sent the attempt, and those of entries whose callers resent the request.
+    `owner` is the mailbox of the entry that bills the attempt, `incarnation` is
+    the incarnation of that entry, and `ledger` is the ledger that gets the bill.
+    `holders` are the ledgers that were given the bill before `ledger`.
+    `settled` is true if there is no bill or it is in a ledger.  `is_suspected`
+    is true if the endpoint crashed while the attempt ran.  `pieces` is the
+    answer so far and `size` its length in bytes.
+
+    Times are seconds of the agent's clock.  `last_piece_at` is when the last
+    piece arrived, or the start if there is none yet.  `deferred_until` limits
+    how long the attempt waits for newer facts, zero if it never had to wait.
+    `bill_sent_at` is when `BillKeeper` last sent the bill to the current ledger,
+    zero if it hasn't done so yet.
     """
 
     start: Start
@@ -56,10 +63,10 @@
     ledger: str
     arrived: float
     deadline: float
-    held_until: float = 0.0
+    deferred_until: float = 0.0
     phase: Phase = Phase.QUEUED
     began: float = 0.0
-    heard: float = 0.0
+    last_piece_at: float = 0.0
     ended_at: float = 0.0
     pieces: list[bytes] = dataclasses.field(default_factory=list)
     size: int = 0
@@ -67,7 +74,7 @@
     settled: bool = True
     is_suspected: bool = False
     holders: tuple[str, ...] = ()
-    handed_at: float = 0.0
+    bill_sent_at: float = 0.0
 
     @property
     def key(self) -> str:
@@ -75,24 +82,28 @@
         return self.start.attempt
 
     @property
-    def ends_by(self) -> float:
-        """Return when a running attempt is cut at the latest.
+    def cut_at(self) -> float:
+        """Return the time at which a running attempt is cut off.
 
-        Cutting one that may not be repeated at its caller's deadline would
-        leave nobody able to say what it did; a resend asks for its answer.
+        A non-repeatable attempt runs on after its caller's deadline.  Cutting it
+        would leave its effect unknown, and a resent request asks for its answer.
         """
         overtime = 0.0 if self.start.repeatable else OVERTIME_SECONDS
         return self.deadline + overtime
 
     def may_be_forgotten(self, now: float) -> bool:
-        """Tell whether no entry can lack a piece of this ended attempt."""
+        """Return whether no entry can still lack a piece of this ended attempt."""
         is_billed = self.ended.bill is not None
-        kept = SETTLED_SECONDS if is_billed else KEPT_SECONDS
+        kept = BILLED_RETENTION_SECONDS if is_billed else UNBILLED_RETENTION_SECONDS
         return now - self.ended_at > kept
 
 
 class Attempts:
-    """All attempts by name."""
+    """All attempts by name.
+
+    `live` holds every attempt that is kept, `running` those that run, and
+    `unsettled` those that have ended with a bill that isn't settled.
+    """
 
     __slots__ = ("_kept_bytes", "_records", "live", "running", "unsettled")
 
@@ -100,38 +111,38 @@
         self.live: dict[str, Attempt] = {}
         self.running: dict[str, Attempt] = {}
         self.unsettled: dict[str, Attempt] = {}
-        self._records = Records(now=now)
+        self._records = AttemptRecords(now=now)
         self._kept_bytes = 0
 
     @property
     def is_full(self) -> bool:
-        """Tell whether nothing more can be remembered."""
+        """Return whether the records have no room for another attempt."""
         return self._records.is_full
 
-    def find(self, *, key: str) -> Attempt | Record | Forgotten | None:
-        """Return what is known of an attempt."""
+    def find(self, *, key: str) -> Attempt | AttemptRecord | ExpiredRecord | None:
+        """Return the attempt, its record, or None if it is unknown."""
         return self.live.get(key) or self._records.find(key=key)
 
-    def has_phase(self, phase: Phase) -> list[Attempt]:
-        """Return the attempts that have come this far."""
+    def find_by_phase(self, phase: Phase) -> list[Attempt]:
+        """Return the live attempts in this phase, in order of arrival."""
         return [each for each in self.live.values() if each.phase is phase]
 
     def add(self, attempt: Attempt) -> bool:
-        """Take in a queued attempt; return false when its name is known."""
+        """Add a queued attempt; return false if its name was used before."""
         if self.find(key=attempt.key) is not None:
             return False
         self.live[attempt.key] = attempt
         return True
 
-    def bury(self, *, key: str, refusal: Refusal, now: float) -> NotStarted:
-        """Vow that an attempt never starts, and return what to say of it.
+    def add_tombstone(self, *, key: str, refusal: Refusal, now: float) -> NotStarted:
+        """Record that an attempt will never start; return the message that says so.
 
         The attempt must be queued or unknown.
         """
         self.live.pop(key, None)
-        word = NotStarted(attempt=key, refusal=refusal)
-        self._records.add(key=key, word=word, now=now)
-        return word
+        message = NotStarted(attempt=key, refusal=refusal)
+        self._records.add(key=key, message=message, now=now)
+        return message
 
     def begin(self, attempt: Attempt, *, now: float) -> bool:
         """Mark an attempt as running; return false unless it was queued."""
@@ -140,11 +151,11 @@
             return False
         attempt.phase = Phase.RUNNING
         self.running[attempt.key] = attempt
-        attempt.began = attempt.heard = now
+        attempt.began = attempt.last_piece_at = now
         return True
 
-    def keep(self, attempt: Attempt, piece: bytes) -> int:
-        """Keep a piece and return its number."""
+    def keep_piece(self, attempt: Attempt, piece: bytes) -> int:
+        """Store a piece of the answer and return its number."""
         attempt.pieces.append(piece)
         attempt.size += len(piece)
         self._kept_bytes += len(piece)
@@ -159,10 +170,10 @@
         attempt.settled = ended.bill is None
         if ended.bill is not None:
             self.unsettled[attempt.key] = attempt
-        self._trim()
+        self._evict_pieces()
 
     def settle(self, *, key: str, now: float) -> None:
-        """Note that the bill of an answer is in the ledger."""
+        """Note that the bill of an attempt is in a ledger."""
         attempt = self.live.get(key)
         if attempt is None or attempt.phase is not Phase.ENDED:
             return
@@ -172,10 +183,10 @@
             self._forget(attempt, now)
 
     def expire(self, *, now: float) -> None:
-        """Forget what nobody may ask for any more."""
+        """Drop attempts and records that nobody can ask for any more."""
         old = [
             attempt
-            for attempt in self.has_phase(Phase.ENDED)
+            for attempt in self.find_by_phase(Phase.ENDED)
             if attempt.settled and attempt.may_be_forgotten(now)
         ]
         for attempt in old:
@@ -189,7 +200,7 @@
     def _forget(self, attempt: Attempt, now: float) -> None:
         del self.live[attempt.key]
         self._drop_pieces(attempt)
-        word = Ended(
+        message = Ended(
             attempt=attempt.key,
             finish=attempt.ended.finish,
             pieces=attempt.ended.pieces,
@@ -197,22 +208,22 @@
             status=attempt.ended.status,
             reason=attempt.ended.reason,
         )
-        self._records.add(key=attempt.key, word=word, now=now)
+        self._records.add(key=attempt.key, message=message, now=now)
 
     def _drop_pieces(self, attempt: Attempt) -> None:
         self._kept_bytes -= attempt.size
         attempt.size = 0
         attempt.pieces.clear()
 
-    def _trim(self) -> None:
-        """Drop the pieces of the oldest ended answers when there are too many.
+    def _evict_pieces(self) -> None:
+        """Drop the pieces of the oldest ended answers when they take too much space.
 
-        Their bills stay.  An entry that still lacks a piece and asks for it
-        is told that the answer is cut.
+        Their bills are kept.  An entry that asks for a dropped piece is told that
+        the answer was cut off.
         """
         if self._kept_bytes <= MAX_KEPT_BYTES:
             return
-        for attempt in self.has_phase(Phase.ENDED)[:-1]:
+        for attempt in self.find_by_phase(Phase.ENDED)[:-1]:
             self._drop_pieces(attempt)
             if self._kept_bytes <= MAX_KEPT_BYTES:
                 return
--- a/eelgrassrack/entry/entry.py
+++ b/eelgrassrack/entry/entry.py
@@ -13,9 +13,9 @@
 from ..document.snapshot import Snapshot
 from ..incarnations import make_incarnation
 from ..invariants import Invariants, Promise
-from ..lingering import NOT_READ
+from ..lingering import REQUEST_TIMEOUT_ANSWER
 from ..listening import stop_listening
-from ..mailbox.messages import AnyMessage, Bill, Parcel
+from ..mailbox.messages import AnyMessage, Bill, MessageBatch
 from ..mailbox.socket import Mailbox
 from ..metrics import Metrics
 from ..settings import EntrySettings
@@ -252,7 +252,7 @@
                 # A connection that isn't reading has received the headers of a request
                 # that no handler has seen yet.
                 if stream.reading() and stream not in busy:
-                    self.core.lingering.dismiss(stream, NOT_READ)
+                    self.core.lingering.half_close(stream, REQUEST_TIMEOUT_ANSWER)
             await asyncio.sleep(0)
         await self.core.lingering.wait_closed(self._loop.time() + AFTER_GRACE_SECONDS)
 
@@ -276,12 +276,12 @@
         """Wait until a task has failed too often, then raise `SupervisorError`."""
         await self._supervisor.wait_failed()
 
-    def hurry(self) -> None:
+    def skip_grace_period(self) -> None:
         """Skip the rest of the grace period of a stop."""
         self._hurry.set()
         self._set_end(self._loop.time())
 
-    def deliver(self, batch: Parcel) -> None:
+    def deliver(self, batch: MessageBatch) -> None:
         """Process a batch of messages from an agent or another entry."""
         self._inbox.deliver(batch)
 
@@ -331,7 +331,7 @@
         if now - self._heartbeat_at < HEARTBEAT_SECONDS:
             return
         self.directory.drop_silent(now)
-        self._mailbox.forget_idle()
+        self._mailbox.close_idle()
         self._send_heartbeats()
         self._report_metrics()
 
--- a/eelgrassrack/ui/commands/status.py
+++ b/eelgrassrack/ui/commands/status.py
@@ -1,4 +1,4 @@
-"""`eelgrassrack status`: print what entries know of endpoints and versions."""
+"""`eelgrassrack status`: print the entries' view of endpoints and versions."""
 
 import asyncio
 from collections.abc import Iterator
@@ -12,15 +12,15 @@
 from ..errors import OK, UNAVAILABLE
 from ..options import AsJson, RequiredEntryUrls
 from ..output import print_json, print_table
-from ..statuses import Silent, fetch_statuses
+from ..statuses import StatusFailure, fetch_statuses
 from ..tools import Tools, make_tools
 
 
-class Statuses(msgspec.Struct, kw_only=True, frozen=True):
+class StatusOutput(msgspec.Struct, kw_only=True, frozen=True):
     """What `status --json` prints."""
 
     entries: tuple[EntryStatus, ...]
-    silent: tuple[Silent, ...]
+    silent: tuple[StatusFailure, ...]
 
 
 @cappa.command(name="status", help="Print endpoints, versions and revisions in force.")
@@ -32,26 +32,26 @@
     as_json: AsJson = False
 
     def __call__(self, tools: Annotated[Tools, cappa.Dep(make_tools)]) -> int:
-        """Ask the entries and print what they know."""
+        """Request the status of the entries and print it."""
         answers = asyncio.run(fetch_statuses(tools=tools, urls=self.entries))
-        statuses = Statuses(
+        output = StatusOutput(
             entries=tuple(item for item in answers if isinstance(item, EntryStatus)),
-            silent=tuple(item for item in answers if isinstance(item, Silent)),
+            silent=tuple(item for item in answers if isinstance(item, StatusFailure)),
         )
         if self.as_json:
-            print_json(statuses)
+            print_json(output)
         else:
-            print_statuses(statuses)
-        return UNAVAILABLE if statuses.silent else OK
+            print_statuses(output)
+        return UNAVAILABLE if output.silent else OK
 
 
-def print_statuses(statuses: Statuses) -> None:
+def print_statuses(output: StatusOutput) -> None:
     """Print tables of entries, endpoints and versions."""
     print_table(
         ("entry", "revision", "requests", "bills waiting", "problem"),
         [
-            *map(_list_entry, statuses.entries),
-            *((silent.url, "", "", "", silent.reason) for silent in statuses.silent),
+            *map(_list_entry, output.entries),
+            *((silent.url, "", "", "", silent.reason) for silent in output.silent),
         ],
     )
     print_table(
@@ -67,7 +67,7 @@
             "revision",
             "report age s",
         ),
-        [_list_endpoint(endpoint) for endpoint in merge_endpoints(statuses)],
+        [_list_endpoint(endpoint) for endpoint in merge_endpoints(output)],
     )
     print_table(
         ("version", "entry", "state", "weight", "share", "why"),
@@ -80,18 +80,18 @@
                 version.share,
                 version.why,
             )
-            for entry in statuses.entries
+            for entry in output.entries
             for version in entry.versions
         ],
     )
 
 
-def merge_endpoints(statuses: Statuses) -> list[EndpointStatus]:
-    """Return each endpoint once, by the freshest report that an entry has."""
+def merge_endpoints(output: StatusOutput) -> list[EndpointStatus]:
+    """Return each endpoint once, from the entry with the newest report of it."""
     freshest: dict[str, EndpointStatus] = {}
-    for endpoint in (item for entry in statuses.entries for item in entry.endpoints):
-        known = freshest.get(endpoint.name)
-        if known is None or endpoint.age < known.age:
+    for endpoint in (item for entry in output.entries for item in entry.endpoints):
+        other = freshest.get(endpoint.name)
+        if other is None or endpoint.age < other.age:
             freshest[endpoint.name] = endpoint
     return [freshest[name] for name in sorted(freshest)]
 
@@ -120,7 +120,7 @@
 
 
 def _find_states(endpoint: EndpointStatus) -> Iterator[str]:
-    """Return what keeps an endpoint from its full work."""
+    """Yield the states in which an endpoint can't take its full load."""
     if not endpoint.engine_up:
         yield "down"
     if endpoint.cold:
