--- a/test/processes/test_gateway_start.py
+++ b/test/processes/test_gateway_start.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from bench.gatewaysoak.gates import Gate
+from bench.gatewaysoak.gateways import GatewayProcess
 from eelgrassrack.gateway.listener import open_early, open_listener
 from eelgrassrack.standins.directengine import Echo
 from test.gateway.world import connect, make_world, run
@@ -32,7 +32,7 @@
     """Start a gateway process; its endpoint answers with each attempt's id."""
     async with make_world() as world:
         await world.add_engine("e1", Echo())
-        gateway = Gate(
+        gateway = GatewayProcess(
             number=1,
             news_port=find_port(),
             store=world.store.url.removeprefix("http://"),
