--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -381,4 +381,4 @@
         as_promised = self._hurry.is_set() or not cut
         self.invariants.check(Promise.GRACEFUL_STOP, as_promised, f"{cut} cut")
         if unsettled:
-            log.error("agent: {} bills left unsettled by the stop", unsettled)
+            log.error("agent: {} bills unsettled at the stop", unsettled)
--- a/eelgrassrack/entry/billing.py
+++ b/eelgrassrack/entry/billing.py
@@ -119,7 +119,7 @@
         for attempt in flushed.dropped:
             self._agents.pop(attempt, None)
         if flushed.unavailable is not None:
-            log.info("billing: flush postponed: {}", flushed.unavailable.reason)
+            log.info("billing: flush waits: {}", flushed.unavailable.reason)
 
     async def _recover(self, address: str, custody: Custody) -> None:
         ledger = self.ledgers.find(custody.into)
--- a/eelgrassrack/entry/configuration.py
+++ b/eelgrassrack/entry/configuration.py
@@ -201,7 +201,7 @@
                 async with asyncio.timeout(CONFIRM_SECONDS):
                     await self._wait_confirmation()
             except TimeoutError:
-                log.warning("configuration: no answer confirms the revision")
+                log.warning("configuration: nobody confirms the revision")
             self._note_confirmed(question)
 
     def call_when_confirmed(self, call: Callable[[], None]) -> None:
--- a/eelgrassrack/entry/idempotency.py
+++ b/eelgrassrack/entry/idempotency.py
@@ -227,9 +227,7 @@
         result = await _write_outcome(request_claim, outcome)
         if not isinstance(result, ClaimUnavailable):
             return
-    log.warning(
-        "once: the outcome of {} couldn't be recorded", request_claim.claim.attempt
-    )
+    log.warning("once: the outcome of {} is not on record", request_claim.claim.attempt)
 
 
 def _judge(outcome: Outcome) -> Completed | CallerError:
--- a/eelgrassrack/gateway/placing.py
+++ b/eelgrassrack/gateway/placing.py
@@ -259,7 +259,7 @@
         )
         if heavy != self.heavy:
             names = ", ".join(sorted(heavy)) or "none"
-            log.info("placing: deprioritised organisations: {}", names)
+            log.info("placing: organisations that give way: {}", names)
         self.heavy = heavy
 
     def count_slow(self) -> int:
