--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -60,7 +60,7 @@
         "_entries",
         "_health",
         "_heartbeat",
-        "_hurry",
+        "_grace_skipped",
         "_inbox",
         "_instances",
         "_intake",
@@ -100,7 +100,7 @@
         self._clock = clock
         self._swept_at = float("-inf")
         self._closed = False
-        self._hurry = asyncio.Event()
+        self._grace_skipped = asyncio.Event()
         self._metrics = Metrics(settings=settings.metrics, clock=clock)
         self._supervisor = Supervisor(name="agent")
         self._entries = EntryDirectory(name=settings.name)
@@ -231,7 +231,7 @@
     async def _settle_remaining(self) -> None:
         """Settle the bills that no entry settled during the grace period."""
         remaining = tuple(self._attempts.unsettled.values())
-        if not remaining or self._store is None or self._hurry.is_set():
+        if not remaining or self._store is None or self._grace_skipped.is_set():
             return
         settlement = Settlement(
             store=self._store, invariants=self.invariants, price=self._price
@@ -277,7 +277,7 @@
 
     def skip_grace_period(self) -> None:
         """Finish a stop in progress without further waiting."""
-        self._hurry.set()
+        self._grace_skipped.set()
 
     def _deliver(self, batch: MessageBatch) -> None:
         self._inbox.deliver(batch)
@@ -368,7 +368,7 @@
         self._heartbeat.send()
 
     def _may_close(self, waited: float) -> bool:
-        if self._hurry.is_set() or waited >= self._settings.grace_seconds:
+        if self._grace_skipped.is_set() or waited >= self._settings.grace_seconds:
             return True
         done = self._core.is_idle and not self._attempts.unsettled
         return done and waited >= self._settings.lag_seconds
@@ -378,7 +378,7 @@
         if cut:
             log.error("agent: {} running attempts cut off by the stop", cut)
         # The promise covers planned stops; one that was cut short isn't planned.
-        as_promised = self._hurry.is_set() or not cut
+        as_promised = self._grace_skipped.is_set() or not cut
         self.invariants.check(Promise.GRACEFUL_STOP, as_promised, f"{cut} cut")
         if unsettled:
             log.error("agent: {} bills unsettled at the stop", unsettled)
--- a/eelgrassrack/decisions/engines.py
+++ b/eelgrassrack/decisions/engines.py
@@ -51,7 +51,7 @@
     is the number of requests that all entries have there, `slots` how many it runs at
     once.  `slowness` is its time for the same work relative to other endpoints.
     `holds_parts` says that it probably has the shared prefix cached, `is_near` that it
-    is in the entry's own failure domain, `is_shunned` that it failed lately.
+    is in the entry's own failure domain, `is_avoided` that it failed lately.
     """
 
     name: str
@@ -62,7 +62,7 @@
     is_near: bool
     slowness: float = 1.0
     holds_parts: bool = False
-    is_shunned: bool = False
+    is_avoided: bool = False
 
 
 class ReadingTime(msgspec.Struct, kw_only=True, frozen=True):
@@ -96,7 +96,7 @@
     request's objective.
     """
     usable = [
-        candidate for candidate in candidates if not candidate.is_shunned
+        candidate for candidate in candidates if not candidate.is_avoided
     ] or candidates
     home = _find_home(usable, affinity)
     work = {
--- a/eelgrassrack/decisions/fairshare.py
+++ b/eelgrassrack/decisions/fairshare.py
@@ -36,18 +36,18 @@
 MILLISECONDS = 1000.0
 
 
-class Heavy(msgspec.Struct, frozen=True, array_like=True):
+class OrganisationUsage(msgspec.Struct, frozen=True, array_like=True):
     """Milliseconds of prompts that one entry had engines read for an organisation."""
 
     organisation: str
     milliseconds: int
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True):
+class UsageReport(msgspec.Struct, frozen=True, array_like=True):
     """One entry's usage in milliseconds: of all organisations, and of the heaviest."""
 
     milliseconds: int = 0
-    heaviest: tuple[Heavy, ...] = ()
+    heaviest: tuple[OrganisationUsage, ...] = ()
 
 
 class Usage:
@@ -73,19 +73,20 @@
             if seconds * factor >= MIN_ACTIVE_SECONDS
         }
 
-    def report(self) -> Told:
+    def report(self) -> UsageReport:
         """Return the usage to report to peers."""
         heaviest = sorted(self._seconds.items(), key=lambda item: -item[1])[
             :MAX_REPORTED
         ]
-        return Told(
+        return UsageReport(
             int(sum(self._seconds.values()) * MILLISECONDS),
             tuple(
-                Heavy(name, int(seconds * MILLISECONDS)) for name, seconds in heaviest
+                OrganisationUsage(name, int(seconds * MILLISECONDS))
+                for name, seconds in heaviest
             ),
         )
 
-    def find_heavy(self, reports: Iterable[Told]) -> frozenset[str]:
+    def find_heavy(self, reports: Iterable[UsageReport]) -> frozenset[str]:
         """Return the organisations to deprioritise, given the reports of peers."""
         active = len(self._seconds)
         if active < MIN_ACTIVE:
--- a/eelgrassrack/entry/arrivals.py
+++ b/eelgrassrack/entry/arrivals.py
@@ -44,11 +44,11 @@
 class RequestOptions(msgspec.Struct, kw_only=True, frozen=True):
     """The options that a request's headers set.
 
-    `within` is the seconds until the caller's deadline.  A request with
+    `remaining` is the seconds until the caller's deadline.  A request with
     `never_repeat` runs at most once.
     """
 
-    within: float
+    remaining: float
     session: str = ""
     session_token: str = ""
     idempotency_key: str = ""
@@ -62,7 +62,7 @@
     `tokens` estimates prompt and answer together, `fields` holds the whole body.
     """
 
-    terms: RequestOptions
+    options: RequestOptions
     model: str
     stream: bool
     tokens: int
@@ -85,11 +85,11 @@
     A request that isn't `repeatable` runs at most once.
     """
 
-    terms: RequestOptions
+    options: RequestOptions
     service: str
     method: str
     path: str
-    passed_headers: tuple[tuple[str, str], ...]
+    forwarded_headers: tuple[tuple[str, str], ...]
     body: bytes
     fingerprint: str
     repeatable: bool
@@ -132,7 +132,7 @@
             status=408, code="deadline_passed", text="The deadline has passed."
         )
     return RequestOptions(
-        within=min(remaining, limits.longest_deadline),
+        remaining=min(remaining, limits.longest_deadline),
         session=sent.get(headers.SESSION, ""),
         session_token=sent.get(headers.SESSION_TOKEN, ""),
         idempotency_key=sent.get(headers.IDEMPOTENCY_KEY, ""),
@@ -163,7 +163,7 @@
         return _refuse_body("max_tokens is out of range.")
     wants_usage = bool((chat.stream_options or {}).get("include_usage"))
     return ChatArrival(
-        terms=options,
+        options=options,
         model=chat.model,
         stream=chat.stream,
         tokens=answer_tokens + len(body) // BYTES_PER_TOKEN,
@@ -191,11 +191,11 @@
         (name, value) for name, value in sent.items() if headers.is_forwarded(name)
     )
     return ServiceArrival(
-        terms=options,
+        options=options,
         service=service.name,
         method=method,
         path=path,
-        passed_headers=forwarded,
+        forwarded_headers=forwarded,
         body=body,
         fingerprint=_compute_fingerprint(organisation.name, operation.encode() + body),
         repeatable=not (marked or options.never_repeat),
--- a/eelgrassrack/entry/callerhandler.py
+++ b/eelgrassrack/entry/callerhandler.py
@@ -200,7 +200,7 @@
         )
         if isinstance(options, CallerError):
             return options
-        self.deadline = asyncio.get_running_loop().time() + options.within
+        self.deadline = asyncio.get_running_loop().time() + options.remaining
         return CallerContext(organisation=organisation, options=options)
 
     async def _run(self, work: Awaitable[None]) -> None:
--- a/eelgrassrack/entry/chat.py
+++ b/eelgrassrack/entry/chat.py
@@ -105,7 +105,7 @@
             organisation=organisation,
             snapshot=snapshot,
             route=route,
-            deadline=self._admission.find_deadline(remaining=arrival.terms.within),
+            deadline=self._admission.find_deadline(remaining=arrival.options.remaining),
             ledger=self._find_ledger(),
         )
 
@@ -120,7 +120,7 @@
             organisation=organisation,
             snapshot=snapshot,
             tokens=arrival.tokens,
-            remaining=arrival.terms.within,
+            remaining=arrival.options.remaining,
             versions=[
                 tuple(version.name for version in step.active) for step in route.steps
             ],
--- a/eelgrassrack/entry/entry.py
+++ b/eelgrassrack/entry/entry.py
@@ -68,7 +68,7 @@
         "_heartbeat_at",
         "_configuration",
         "_ends_at",
-        "_hurry",
+        "_grace_skipped",
         "_inbox",
         "_instances",
         "_listeners",
@@ -106,7 +106,7 @@
         self.port = 0
         self._heartbeat_at = float("-inf")
         self._ends_at = math.inf
-        self._hurry = asyncio.Event()
+        self._grace_skipped = asyncio.Event()
         self._instances = instances
         self._listeners: list[socket.socket] = []
         self._loop = asyncio.get_running_loop()
@@ -278,7 +278,7 @@
 
     def skip_grace_period(self) -> None:
         """Skip the rest of the grace period of a stop."""
-        self._hurry.set()
+        self._grace_skipped.set()
         self._set_end(self._loop.time())
 
     def deliver(self, batch: MessageBatch) -> None:
@@ -369,7 +369,7 @@
         self._send_heartbeats()
 
     def _may_close(self, waited: float) -> bool:
-        if self._hurry.is_set() or waited >= self._settings.grace_seconds:
+        if self._grace_skipped.is_set() or waited >= self._settings.grace_seconds:
             return True
         is_done = self.core.is_idle and not self.billing.waiting
         return is_done and waited >= self._settings.lag_seconds
@@ -379,7 +379,7 @@
         if cut:
             log.error("entry: {} requests were cut off by the stop", cut)
         # The promise covers planned stops, and a hurried one isn't planned.
-        kept = self._hurry.is_set() or (not cut and self.core.is_idle)
+        kept = self._grace_skipped.is_set() or (not cut and self.core.is_idle)
         self.invariants.check(Promise.GRACEFUL_STOP, kept, f"{cut} cut")
 
     def _log_unwritten_bills(self) -> None:
--- a/eelgrassrack/entry/services.py
+++ b/eelgrassrack/entry/services.py
@@ -88,7 +88,7 @@
                 code="service_not_allowed",
                 text=f"This organisation may not use {arrival.service}.",
             )
-        if not arrival.repeatable and not arrival.terms.idempotency_key:
+        if not arrival.repeatable and not arrival.options.idempotency_key:
             # Without a key a resend can't be distinguished from a new request and
             # would run a second time.
             return CallerError(
@@ -100,7 +100,7 @@
             organisation=organisation,
             snapshot=snapshot,
             tokens=arrival.tokens,
-            remaining=arrival.terms.within,
+            remaining=arrival.options.remaining,
             versions=[("",)],
             service=arrival.service,
             repeatable=arrival.repeatable,
@@ -117,7 +117,7 @@
             request=request,
             organisation=organisation.name,
             snapshot=snapshot,
-            deadline=self._admission.find_deadline(remaining=arrival.terms.within),
+            deadline=self._admission.find_deadline(remaining=arrival.options.remaining),
             ledger=self._find_ledger(),
             service=arrival.service,
             priority=organisation.priority,
@@ -126,7 +126,7 @@
             fingerprint=arrival.fingerprint,
             method=arrival.method,
             path=arrival.path,
-            headers=arrival.passed_headers,
+            headers=arrival.forwarded_headers,
             body=arrival.body,
         )
         if arrival.repeatable:
@@ -134,5 +134,5 @@
         return await self._idempotent_runner.run(
             job=job,
             operation=f"{arrival.service} {arrival.method} {arrival.path}",
-            key=arrival.terms.idempotency_key,
+            key=arrival.options.idempotency_key,
         )
--- a/eelgrassrack/entry/steps.py
+++ b/eelgrassrack/entry/steps.py
@@ -41,7 +41,7 @@
     @property
     def kind(self) -> str:
         """Return the kind of request, by which ratings are grouped."""
-        return self.arrival.terms.kind
+        return self.arrival.options.kind
 
     @property
     def rungs(self) -> list[Rung]:
@@ -54,7 +54,7 @@
     @property
     def affinity(self) -> str:
         """Return the affinity key: requests with equal keys share an endpoint."""
-        return self.arrival.terms.session or self.arrival.prompt[:AFFINITY_CHARACTERS]
+        return self.arrival.options.session or self.arrival.prompt[:AFFINITY_CHARACTERS]
 
 
 class StepAnswered(msgspec.Struct, kw_only=True, frozen=True):
@@ -115,7 +115,7 @@
         picked = await self._sessions.pick(
             organisation=request.organisation,
             step=step,
-            options=request.arrival.terms,
+            options=request.arrival.options,
             policy=request.snapshot.policy,
             now=self._clock(),
         )
--- a/eelgrassrack/gateway/attempts.py
+++ b/eelgrassrack/gateway/attempts.py
@@ -114,7 +114,7 @@
             expected=job.expected_seconds, has_prompt=bool(job.arrival.tokens_in)
         )
         if self._loop.time() > job.sent_at + timeout:
-            self._placer.health.note_silent(endpoint)
+            self._placer.health.note_overdue_answer(endpoint)
 
     def _send(self, job: Job, endpoint: Endpoint, connection: Connection) -> None:
         arrival = job.arrival
--- a/eelgrassrack/gateway/daemon.py
+++ b/eelgrassrack/gateway/daemon.py
@@ -237,7 +237,7 @@
         return self._contact.lost_at is None
 
     @property
-    def entries(self) -> int:
+    def gateway_count(self) -> int:
         """Return how many gateways share the common limits, including this one."""
         return self._update_exchange.gateway_count
 
@@ -376,7 +376,7 @@
         if known is None:
             self._metrics.version.set(self.router.version)
             self._metrics.store_answers.set(self.has_store)
-            self._metrics.gateways.set(self.entries)
+            self._metrics.gateways.set(self.gateway_count)
             self._metrics.slow.set(self._placer.count_slow())
             self._metrics.heavy.set(len(self._placer.heavy))
             self._metrics.dropped_lines.set(self._count_dropped())
--- a/eelgrassrack/gateway/ingress.py
+++ b/eelgrassrack/gateway/ingress.py
@@ -164,7 +164,7 @@
         return len(self._reading) + len(self._serving)
 
     @property
-    def is_occupied(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Return whether a request is in progress, unread or about to arrive.
 
         A request may be unread in the kernel or in the stream's buffer while none
@@ -207,7 +207,7 @@
         Idle connections are closed in the meantime.
         """
         self.close_idle()
-        while self.is_occupied and self._loop.time() < until:
+        while self.has_pending_requests and self._loop.time() < until:
             await asyncio.sleep(STOP_POLL_SECONDS)
             self.close_idle()
 
--- a/eelgrassrack/gateway/passivehealth.py
+++ b/eelgrassrack/gateway/passivehealth.py
@@ -86,11 +86,11 @@
         This doesn't count against the endpoint's version: connections break for
         many reasons, at old and new versions alike.
         """
-        self.note_silent(endpoint)
+        self.note_overdue_answer(endpoint)
         crash = Crash(job.fingerprint, endpoint.name, endpoint.born)
         self._detector.note_loss(crash=crash, now=self._loop.time())
 
-    def note_silent(self, endpoint: Endpoint) -> None:
+    def note_overdue_answer(self, endpoint: Endpoint) -> None:
         """Note that an endpoint doesn't send an answer that is due."""
         state = self._fleet.find_state(endpoint)
         if state is not None:
--- a/eelgrassrack/gateway/peerupdates.py
+++ b/eelgrassrack/gateway/peerupdates.py
@@ -18,7 +18,7 @@
 import logbook
 import msgspec
 
-from ..decisions.fairshare import Told
+from ..decisions.fairshare import UsageReport
 from ..decisions.precedence import Sharer
 from ..decisions.queryofdeath import Crash
 from ..decisions.stopping import Readiness
@@ -119,7 +119,7 @@
     pins: tuple[SessionPin, ...] = ()
     crashes: tuple[Crash, ...] = ()
     suspected: tuple[int, ...] = ()
-    usage: Told = Told()
+    usage: UsageReport = UsageReport()
     domain: str = ""
     is_ready: bool = True
 
--- a/eelgrassrack/gateway/placing.py
+++ b/eelgrassrack/gateway/placing.py
@@ -16,7 +16,7 @@
     EngineChoice,
     choose_engine,
 )
-from ..decisions.fairshare import Told, Usage
+from ..decisions.fairshare import Usage, UsageReport
 from ..decisions.modelchoice import Estimate
 from ..decisions.pace import BASE_SECONDS, Pace
 from ..decisions.precedence import Sharer, count_before
@@ -113,7 +113,7 @@
         self._settings = settings
 
     @property
-    def entries(self) -> int | None:
+    def gateway_count(self) -> int | None:
         """Return how many gateways share the common limits, or None if unknown."""
         sharers = self._list_sharers()
         return None if sharers is None else 1 + len(sharers)
@@ -266,7 +266,7 @@
         """Return how many endpoints are slow."""
         return sum(state.slowness > 1.0 for state in self._fleet)
 
-    def report_usage(self) -> Told:
+    def report_usage(self) -> UsageReport:
         """Return how much reading time organisations used, for peers."""
         return self._usage.report()
 
@@ -393,5 +393,5 @@
             slots=state.endpoint.slots,
             is_near=self.is_near(state.endpoint),
             holds_parts=bool(affinity) and self._has_cached(state, affinity, now),
-            is_shunned=now < state.avoided_until or state.missing_since is not None,
+            is_avoided=now < state.avoided_until or state.missing_since is not None,
         )
--- a/eelgrassrack/gateway/serving.py
+++ b/eelgrassrack/gateway/serving.py
@@ -273,7 +273,7 @@
             repeats=counts.repeats,
             ratio=self._settings.retry_ratio,
             slack=self._settings.retry_slack,
-            entries=self._placer.entries,
+            entries=self._placer.gateway_count,
         )
 
     def _note_outcome(self, job: Job, endpoint: Endpoint, outcome: Outcome) -> None:
--- a/eelgrassrack/settings.py
+++ b/eelgrassrack/settings.py
@@ -246,10 +246,12 @@
     """Return the values by section; raise a `UserError` that lists all faults."""
     file = str(path)
     scan = scan_text(read_text(path), file=file)
-    readings, faults = read_sections(scan.sections, (main, LOG, METRICS), file=file)
-    values = {name.kind: reading.values for name, reading in readings.items()}
+    parsed_sections, faults = read_sections(
+        scan.sections, (main, LOG, METRICS), file=file
+    )
+    values = {name.kind: parsed.values for name, parsed in parsed_sections.items()}
     faults += scan.faults
-    faults += [fault for reading in readings.values() for fault in reading.faults]
+    faults += [fault for parsed in parsed_sections.values() for fault in parsed.faults]
     if main.kind not in values:
         allowed = f"a section [{main.kind}] is required"
         faults.append(Fault(file=file, line=1, section=main.kind, allowed=allowed))
--- a/eelgrassrack/ui/commands/withdraw.py
+++ b/eelgrassrack/ui/commands/withdraw.py
@@ -27,7 +27,7 @@
     version: Annotated[str, cappa.Arg(value_name="MODEL/LABEL")]
     team: TeamName
     objects: ObjectsUrl
-    heir: Annotated[
+    successor: Annotated[
         str | None,
         cappa.Arg(
             long="--to",
@@ -67,21 +67,21 @@
         state = VersionState.ACTIVE if self.undo else VersionState.WITHDRAWN
         section = SectionName("version", self.version)
         yield KeyChange(section=section, key="state", value=state.value)
-        if not self.heir:
+        if not self.successor:
             return
-        weight = versions[self.version].weight + versions[self.heir].weight
+        weight = versions[self.version].weight + versions[self.successor].weight
         value = f"{min(weight, MAX_WEIGHT):.12g}"
-        successor = SectionName("version", self.heir)
+        successor = SectionName("version", self.successor)
         yield KeyChange(section=successor, key="weight", value=value)
 
     def _check_versions(self, versions: dict[str, Version]) -> None:
         """Raise a `RefusedError` if a version doesn't exist or `--to` is invalid."""
-        for name in filter(None, (self.version, self.heir)):
+        for name in filter(None, (self.version, self.successor)):
             if name not in versions:
                 known = ", ".join(sorted(versions)) or "none"
                 raise RefusedError(f"no version {name}; known: {known}")
-        if not self.heir:
+        if not self.successor:
             return
-        models = {versions[name].model for name in (self.version, self.heir)}
-        if self.undo or self.heir == self.version or len(models) > 1:
+        models = {versions[name].model for name in (self.version, self.successor)}
+        if self.undo or self.successor == self.version or len(models) > 1:
             raise RefusedError("--to takes another version of the withdrawn model")
--- a/test/decisions/test_engines.py
+++ b/test/decisions/test_engines.py
@@ -122,7 +122,7 @@
 
 def test_an_avoided_endpoint_is_the_last_resort():
     bad = make_one(
-        name="bad", backlog=0.0, running=0, slots=48, is_near=True, is_shunned=True
+        name="bad", backlog=0.0, running=0, slots=48, is_near=True, is_avoided=True
     )
     assert choose([bad, *make(1, backlog=3.0)], affinity="").name == "e0"
     assert choose([bad], affinity="").name == "bad"
--- a/test/gateway/test_cold_starts.py
+++ b/test/gateway/test_cold_starts.py
@@ -64,7 +64,7 @@
     return await asyncio.gather(*calls)
 
 
-def keep_apart(monkeypatch):
+def isolate_gateways(monkeypatch):
     """Keep gateways from listing each other and from sending updates."""
 
     async def write_late(store, **rest):
@@ -79,7 +79,7 @@
         await world.start_gateway(number=number, cold_overage=COLD_OVERAGE)
     for number, gateway in enumerate(world.gateways):
         await world.wait_ready(number)
-        await wait_for(lambda one=gateway: one.entries == GATEWAYS)
+        await wait_for(lambda one=gateway: one.gateway_count == GATEWAYS)
 
 
 def test_more_gateways_than_a_cold_endpoint_bears_requests_a_second():
@@ -115,7 +115,7 @@
 
     Each would assume that it is the only one and use the whole limit.
     """
-    keep_apart(monkeypatch)
+    isolate_gateways(monkeypatch)
 
     async def main():
         async with make_world() as world:
--- a/test/gateway/test_endpoints.py
+++ b/test/gateway/test_endpoints.py
@@ -37,7 +37,7 @@
             second = await world.start_gateway(number=2)
             await world.wait_ready(0)
             await world.wait_ready(1)
-            await wait_for(lambda: first.entries == second.entries == 2)
+            await wait_for(lambda: first.gateway_count == second.gateway_count == 2)
             got = await world.call("/issue/1")
             assert got.status == 502
             await asyncio.sleep(0.6)
--- a/test/gateway/test_follower.py
+++ b/test/gateway/test_follower.py
@@ -294,7 +294,9 @@
             first, second = await asyncio.gather(
                 world.start_gateway(number=3), world.start_gateway(number=4)
             )
-            await wait_for(lambda: first.entries == second.entries == 2, seconds=2.5)
+            await wait_for(
+                lambda: first.gateway_count == second.gateway_count == 2, seconds=2.5
+            )
 
     run(main())
 
--- a/test/gateway/test_retry_budget.py
+++ b/test/gateway/test_retry_budget.py
@@ -4,7 +4,7 @@
 
 from eelgrassrack.standins.directengine import Reply
 
-from .test_cold_starts import keep_apart
+from .test_cold_starts import isolate_gateways
 from .world import make_world, run
 
 GATEWAYS = 3
@@ -17,7 +17,7 @@
 
     Without a share each would use the whole constant part of the budget.
     """
-    keep_apart(monkeypatch)
+    isolate_gateways(monkeypatch)
 
     async def main():
         async with make_world() as world:
--- a/test/gateway/test_stop.py
+++ b/test/gateway/test_stop.py
@@ -135,17 +135,19 @@
             gateway = await world.start_gateway()
             await world.wait_ready()
             host, port = world.settings[0].listen.rsplit(":", 1)
-            check = Ingress.is_occupied.fget
+            check = Ingress.has_pending_requests.fget
 
             def connect_after_check(ingress):
-                is_occupied = check(ingress)
-                if not is_occupied and not callers:
+                has_pending_requests = check(ingress)
+                if not has_pending_requests and not callers:
                     # This blocks the loop, so nothing else runs meanwhile.
                     callers.append(socket.create_connection((host, int(port))))
                     callers[0].sendall(REQUEST)
-                return is_occupied
+                return has_pending_requests
 
-            monkeypatch.setattr(Ingress, "is_occupied", property(connect_after_check))
+            monkeypatch.setattr(
+                Ingress, "has_pending_requests", property(connect_after_check)
+            )
             await gateway.stop()
             with callers[0] as caller:
                 assert caller.recv(12) == b"HTTP/1.1 200"
