--- a/eelgrassrack/load/tables.py
+++ b/eelgrassrack/load/tables.py
@@ -20,7 +20,11 @@
     "`key_env`, and one of `model` and `service`.",
     name=NAME,
     keys=(
-        Key(name="organisation", check=NAME, meaning="Whose requests these are."),
+        Key(
+            name="organisation",
+            check=NAME,
+            meaning="Organisation that sends the requests.",
+        ),
         Key(name=KEY, check=API_KEY, meaning="The API key.", secret=True, extra=True),
         Key(
             name=KEY_VARIABLE,
@@ -55,7 +59,7 @@
             name="deadline",
             check=Number(low=0.01, high=3600),
             unit="s",
-            meaning="Time from arrival within which an answer is of use.",
+            meaning="Deadline, from the arrival of the request.",
         ),
         Key(
             name="session_share",
@@ -71,7 +75,7 @@
             name="prompt_words",
             check=Items(item=WORDS, min_items=1),
             unit="words",
-            meaning="Sizes of prompts, drawn evenly.",
+            meaning="Prompt sizes, drawn with equal probability.",
         ),
         Key(
             name="returns",
@@ -81,7 +85,7 @@
         Key(
             name="tries",
             check=Number(low=1, high=100, whole=True),
-            meaning="How often one request is sent at most.",
+            meaning="Most tries of one request, including the first.",
         ),
     ),
 )
@@ -89,7 +93,7 @@
 PHASE = SectionKind(
     kind="phase",
     struct=Phase,
-    meaning="A stretch of the run; phases follow each other as they stand.",
+    meaning="A part of the run; phases run in the order of the file.",
     name=NAME,
     keys=(
         Key(
@@ -101,12 +105,12 @@
         Key(
             name="factor",
             check=Number(low=0, high=1_000),
-            meaning="What rates are multiplied by.",
+            meaning="Factor by which the rates are multiplied.",
         ),
         Key(
             name="kinds",
             check=Items(item=NAME),
-            meaning="Kinds that the factor holds for; without it all.",
+            meaning="Kinds that the factor applies to; by default all.",
         ),
     ),
 )
@@ -124,7 +128,7 @@
         Key(
             name="most_at_once",
             check=Number(low=1, high=20_000, whole=True),
-            meaning="Requests under way; further arrivals count as not sent.",
+            meaning="Most requests in flight; further arrivals count as not sent.",
         ),
         Key(
             name="seed",
