--- a/eelgrassrack/agent/agent.py
+++ b/eelgrassrack/agent/agent.py
@@ -49,7 +49,7 @@
 
 
 class Agent:
-    """An agent, which runs beside its endpoint and controls access to it."""
+    """An agent, which runs next to its endpoint and controls access to it."""
 
     __slots__ = (
         "_attempts",
--- a/eelgrassrack/decisions/cascade.py
+++ b/eelgrassrack/decisions/cascade.py
@@ -28,7 +28,7 @@
 import msgspec
 
 from ..document.sections import Policy, Preference
-from .weights import weigh_haste, weigh_latency
+from .weights import weigh_latency, weigh_speed
 
 # Number of histogram classes of equal width that ratings (0 to 1) are counted in.
 CLASSES = 20
@@ -261,7 +261,7 @@
 
 def _find_miss_share(policy: Policy) -> float:
     """Return the share of a sure rung's answers that may miss the target."""
-    return min(max(MISS_SHARE * weigh_haste(policy), MIN_MISS_SHARE), MAX_MISS_SHARE)
+    return min(max(MISS_SHARE * weigh_speed(policy), MIN_MISS_SHARE), MAX_MISS_SHARE)
 
 
 def _is_rating(rating: float | None) -> bool:
--- a/eelgrassrack/decisions/quarantine.py
+++ b/eelgrassrack/decisions/quarantine.py
@@ -2,13 +2,13 @@
 
 The caller of such a request sends it again and again.  Without a quarantine it would
 crash one endpoint of the pool after the other, each time together with the batch of
-requests that run beside it.
+requests that run at the same time.
 
 After a crash all requests that were running are suspects, since the engine doesn't say
 which one caused it.  A suspect may run once more, alone, so that another crash can only
 be its own.  It is quarantined if it crashed an endpoint alone, or if it was running
 when a second endpoint crashed.  One request thus crashes at most two endpoints, and the
-innocent requests of a batch are cleared when they complete.  An innocent request that
+harmless requests of a batch are cleared when they complete.  A harmless request that
 was in both batches and didn't complete in between is quarantined too, because sparing
 it would let the culprit crash a third endpoint.
 
--- a/eelgrassrack/decisions/queryofdeath.py
+++ b/eelgrassrack/decisions/queryofdeath.py
@@ -6,8 +6,8 @@
 
 A lost answer alone proves nothing.  A request is suspected of a crash if its answer was
 lost and its endpoint was found down right afterwards.  A request that was lost in the
-crashes of three different endpoint lifetimes is blocked; an innocent request that ran
-beside a query of death is hit only once or twice.
+crashes of three different endpoint lifetimes is blocked; a harmless request that ran
+at the same time as a query of death is hit only once or twice.
 """
 
 import collections
--- a/eelgrassrack/decisions/retries.py
+++ b/eelgrassrack/decisions/retries.py
@@ -61,22 +61,22 @@
     an entry that has just started can retry at all.
     """
 
-    __slots__ = ("_left", "floor", "ratio")
+    __slots__ = ("_remaining", "floor", "ratio")
 
     def __init__(self, *, ratio: float, floor: float) -> None:
         self.ratio = ratio
         self.floor = floor
-        self._left = floor
+        self._remaining = floor
 
     @property
-    def left(self) -> float:
+    def remaining(self) -> float:
         """Return how many retries are left."""
-        return self._left
+        return self._remaining
 
     def note_success(self) -> None:
         """Count a complete answer, which earns a fraction of a retry."""
         most = max(self.floor, self.ratio * MAX_SUCCESSES)
-        self._left = min(self._left + self.ratio, most)
+        self._remaining = min(self._remaining + self.ratio, most)
 
     def judge(
         self,
@@ -100,7 +100,7 @@
             return GiveUp(reason=GiveUpReason.TOO_MANY_TRIES)
         if within < MIN_REMAINING_SECONDS:
             return GiveUp(reason=GiveUpReason.TOO_LATE)
-        if self._left < 1.0:
+        if self._remaining < 1.0:
             return GiveUp(reason=GiveUpReason.BUDGET)
-        self._left -= 1.0
+        self._remaining -= 1.0
         return Retry(within=within)
--- a/eelgrassrack/decisions/weights.py
+++ b/eelgrassrack/decisions/weights.py
@@ -17,7 +17,7 @@
     return _divide(policy.latency, policy.cost)
 
 
-def weigh_haste(policy: Policy) -> float:
+def weigh_speed(policy: Policy) -> float:
     """Return the weight of latency relative to exposure to bad answers."""
     return _divide(policy.latency, policy.exposure)
 
--- a/test/bench/test_live.py
+++ b/test/bench/test_live.py
@@ -85,7 +85,7 @@
     assert row[8:11] == ["2.00", "1.5 / 2.5", "10 / 20 / 30"]
 
 
-def test_strays_of_all_runs_are_told():
+def test_stray_requests_of_all_runs_are_reported():
     """A domain that is out was given a request in one run of three."""
     changes = [Change(idle_after=1.0, busy_after=2.0, stray=n) for n in (0, 1, 0)]
     played = [make_played(9, change) for change in changes]
--- a/test/bench/test_plays.py
+++ b/test/bench/test_plays.py
@@ -64,7 +64,7 @@
     assert summarize(make_report(0.6)).spread == 0.0
 
 
-def test_broken_rules_and_plays_without_a_report_are_told():
+def test_broken_rules_and_plays_without_a_report_are_listed():
     """A tree that breaks a rule, or doesn't start, must not look like a good one."""
     found = summarize(
         make_report(0.6, breaks={"TWICE": 1}),
--- a/test/bench/test_scenarios.py
+++ b/test/bench/test_scenarios.py
@@ -84,7 +84,7 @@
     """Callers send a multiple of what the endpoints can do and come back.
 
     First come, first served makes everyone wait until it is too late; a
-    quiet organisation's caller should notice next to nothing.
+    quiet organisation's caller should hardly be slowed down.
     """
     unloaded = find_p95(play("unloaded"))
     result, naive = play(name), play(name, rules=NAIVE)
--- a/test/decisions/test_retries.py
+++ b/test/decisions/test_retries.py
@@ -70,6 +70,6 @@
 def test_gives_up_and_spends_nothing(change, reason):
     budget = RetryBudget(ratio=0.1, floor=5.0)
     assert judge(budget, **change) == GiveUp(reason=reason)
-    assert budget.left == 5.0
+    assert budget.remaining == 5.0
     assert judge(budget) == Retry(within=30.0)
-    assert budget.left == 4.0
+    assert budget.remaining == 4.0
--- a/test/document/test_facts.py
+++ b/test/document/test_facts.py
@@ -40,7 +40,7 @@
 """
 
 
-def test_facts_hold_only_what_bears_on_the_pool():
+def test_facts_hold_only_what_the_pool_needs():
     snapshot = parse_document(text=TEXT, revision=4)
     facts = build_facts(snapshot=snapshot, pool="p", quarantined=("f",))
     assert facts == Facts(
--- a/test/entry/test_stop.py
+++ b/test/entry/test_stop.py
@@ -193,7 +193,7 @@
     assert world.run(read()).startswith(b"HTTP/1.1 502")
 
 
-def test_a_hurried_stop_answers_too(world, monkeypatch):
+def test_a_stop_without_grace_period_answers_too(world, monkeypatch):
     """Guards against a second signal that closes connections unanswered."""
     monkeypatch.setattr(system, "QUICK_GRACE_SECONDS", LONG_GRACE_SECONDS)
     world.start(plans=[TUTOR_EAST])
--- a/test/gateway/test_cold_starts.py
+++ b/test/gateway/test_cold_starts.py
@@ -82,7 +82,7 @@
         await wait_for(lambda one=gateway: one.gateway_count == GATEWAYS)
 
 
-def test_more_gateways_than_a_cold_endpoint_bears_requests_a_second():
+def test_more_gateways_than_requests_a_second_at_a_cold_endpoint():
     """Three gateways share a limit of two requests a second, and each has requests.
 
     One from each would be more than the endpoint can handle, and it would crash.
--- a/test/gateway/test_follower.py
+++ b/test/gateway/test_follower.py
@@ -69,7 +69,7 @@
     run(main())
 
 
-def test_a_deaf_watch_is_found_out_within_its_bound():
+def test_a_watch_that_is_never_answered_is_detected_within_its_bound():
     """The store never answers waiting watches, not even when their wait is over."""
 
     async def main():
--- a/test/gateway/test_guards.py
+++ b/test/gateway/test_guards.py
@@ -76,7 +76,7 @@
         test_endpoints.test_all_gateways_learn_which_endpoint_is_slow,
     ),
     "an organisation's burst is deprioritised": (
-        [(Usage, "find_heavy", lambda usage, told: frozenset())],
+        [(Usage, "find_heavy", lambda usage, reports: frozenset())],
         test_streams.test_all_gateways_deprioritise_an_organisations_burst,
     ),
     "a request names its endpoint": (
@@ -97,11 +97,11 @@
     ),
     "an overdue watch is cancelled": (
         [(follower, "OVERDUE_SECONDS", 100.0)],
-        test_follower.test_a_deaf_watch_is_found_out_within_its_bound,
+        test_follower.test_a_watch_that_is_never_answered_is_detected_within_its_bound,
     ),
     "only the first gateways send to a cold endpoint": (
         [(placing, "count_before", lambda **_: 0)],
-        test_cold_starts.test_more_gateways_than_a_cold_endpoint_bears_requests_a_second,
+        test_cold_starts.test_more_gateways_than_requests_a_second_at_a_cold_endpoint,
     ),
     "an endpoint that broke a connection is checked": (
         [(ConnectionPool, "check", lambda pool, **_: None)],
--- a/test/standins/test_engine.py
+++ b/test/standins/test_engine.py
@@ -168,12 +168,12 @@
 
     async def scenario(engine):
         engine.crash_text = "poison"
-        innocent = asyncio.ensure_future(ask(engine, tokens=8000))
+        other = asyncio.ensure_future(ask(engine, tokens=8000))
         await wait_until(lambda: engine.running == 1)
         with pytest.raises((HTTPClientError, StreamClosedError, OSError)):
             await ask(engine, prompt="a poison b")
         with pytest.raises((HTTPClientError, StreamClosedError, OSError)):
-            await innocent
+            await other
         with pytest.raises(ConnectionRefusedError):
             await ask(engine)
         assert engine.crashes == 1
