--- a/eelgrassrack/gateway/ingress.py
+++ b/eelgrassrack/gateway/ingress.py
@@ -89,7 +89,7 @@
 
 
 class IdlePeriod:
-    """How long a connection has had no request in progress.
+    """How long a connection has had no request in flight.
 
     `since` is the event loop's time at which the period started, `head_since` the
     time at which the first bytes of a request's headers were seen.  `is_first` is
@@ -155,7 +155,7 @@
 
     @property
     def idle_connections(self) -> int:
-        """Return the number of connections without a request in progress."""
+        """Return the number of connections without a request in flight."""
         return len(self._idle)
 
     @property
@@ -165,10 +165,10 @@
 
     @property
     def has_pending_requests(self) -> bool:
-        """Return whether a request is in progress, unread or about to arrive.
+        """Return whether a request is in flight, unread or about to arrive.
 
         A request may be unread in the kernel or in the stream's buffer while none
-        is in progress.  If a stop ignored it, the connection would be cut, and a
+        is in flight.  If a stop ignored it, the connection would be cut, and a
         caller that may not repeat the request would not know whether it ran.
         """
         return bool(self.open_requests) or any(
@@ -183,7 +183,7 @@
         )
 
     def close_idle(self) -> None:
-        """Close connections on which no request is in progress, unread or expected.
+        """Close connections on which no request is in flight, unread or expected.
 
         Requests that a busy process has not read yet are still handled, and so is
         the first request of a caller that has just connected.  Callers that send
