--- a/bench/gatewayslopes.py
+++ b/bench/gatewayslopes.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from eelgrassrack.decisions.engines import EngineCandidate, ReadingTime, choose_engine
-from eelgrassrack.decisions.fairshare import Heavy, Told
+from eelgrassrack.decisions.fairshare import OrganisationUsage, UsageReport
 from eelgrassrack.gateway.endpoints import Endpoint
 from eelgrassrack.gateway.endpointstate import EndpointState
 from eelgrassrack.gateway.peerupdates import (
@@ -99,7 +99,9 @@
             EndpointReport(2**31 + n, 3, (BacklogReport(4, 120),), 250, 40)
             for n in range(8)
         ),
-        usage=Told(1_200, tuple(Heavy(f"tenant{n}", 300) for n in range(4))),
+        usage=UsageReport(
+            1_200, tuple(OrganisationUsage(f"tenant{n}", 300) for n in range(4))
+        ),
     )
 
 
